--- a/notcharch/calls/interface.py
+++ b/notcharch/calls/interface.py
@@ -1,11 +1,13 @@
 """Calls, routes, engines, and the ports that adapters implement."""
 
+from collections.abc import Callable, Mapping
 from typing import Protocol
 
 import msgspec
 
 from notcharch.http.messages import RequestHead, ResponseHead
 from notcharch.scheduling.cold_engines import ColdLimit
+from notcharch.scheduling.engine_load import EngineLoad
 from notcharch.tenants.interface import Tenant
 
 
@@ -128,6 +130,51 @@
         """Return the head of the request for a call."""
 
 
+class LoadExchange(Protocol):
+    """Exchanges the load of engines with other daemons."""
+
+    def request(
+        self,
+        service: str,
+        cached_engine: str,
+        then: Callable[[Mapping[str, EngineLoad]], None],
+    ) -> None:
+        """Request the loads of a service's engines, by engine id, for one dispatch.
+
+        `then` is called exactly once, with an empty mapping if no load is known or the
+        service needs no exchange; `cached_engine` is included if possible.
+        """
+
+    def call_started(self, service: str, engine_id: str) -> None:
+        """Report a call of this daemon that is sent to an engine."""
+
+    def call_ended(
+        self, service: str, engine_id: str, event_interval_seconds: float | None
+    ) -> None:
+        """Report its end, with the mean interval of its events if there were several."""
+
+
+class NoLoadExchange:
+    """Exchanges nothing; each daemon knows only its own calls."""
+
+    def request(
+        self,
+        service: str,
+        cached_engine: str,
+        then: Callable[[Mapping[str, EngineLoad]], None],
+    ) -> None:
+        """Call `then` with no loads."""
+        then({})
+
+    def call_started(self, service: str, engine_id: str) -> None:
+        """Ignore the call."""
+
+    def call_ended(
+        self, service: str, engine_id: str, event_interval_seconds: float | None
+    ) -> None:
+        """Ignore the end of the call."""
+
+
 class Admission(Protocol):
     """Decides whether a call may run, and accounts for its result."""
 
--- a/notcharch/platform/settings.py
+++ b/notcharch/platform/settings.py
@@ -11,6 +11,9 @@
 from notcharch.tenants.partition_limits import Tolerance
 
 FILE_VARIABLE = "NOTCHARCH_NODE_FILE"
+PRESSURE_CONTRACT = "pressure"
+"""The contract of deployments whose callers compete for capacity."""
+BYTES_PER_MEGABYTE = 1024 * 1024
 
 
 class Address(msgspec.Struct, frozen=True):
@@ -64,6 +67,10 @@
     """Interval at which an engine rewrites its entry in the store."""
     regions: Mapping[str, str] = {}
     """The region of each zone."""
+    has_competing_callers: bool = False
+    """Whether callers compete for less capacity than they need."""
+    memory_bytes: int = 0
+    """Memory limit of this process; 0 if unknown."""
 
 
 class Fields:
@@ -112,6 +119,11 @@
             if key.startswith(prefix) and value
         }
 
+    def list(self, key: str) -> tuple[str, ...]:
+        """Return the items of a value that joins them by commas; none if it is missing."""
+        value = self.values.get(key, "")
+        return tuple(item for item in value.split(",") if item)
+
     def range(self, key: str) -> tuple[int, int]:
         """Return a value of the form FIRST,LAST."""
         first, _, last = self.text(key).partition(",")
@@ -163,6 +175,8 @@
         ),
         heartbeat_seconds=fields.number("heartbeat_interval_ms", 1200) / 1000,
         regions=fields.table("zones."),
+        has_competing_callers=PRESSURE_CONTRACT in fields.list("contracts"),
+        memory_bytes=int(fields.number("limits.memory_mb", 0) * BYTES_PER_MEGABYTE),
     )
     return Err(fields.errors) if fields.errors else Ok(settings)
 
--- a/notcharch/settings/mechanisms.py
+++ b/notcharch/settings/mechanisms.py
@@ -37,6 +37,16 @@
     """Calls that a limit has room for in a moment wait in place of being refused."""
     COLD_FEEDING = "cold-feeding"
     """Cold engines get some calls where few are warm; without, none while they are cold."""
+    SHARED_LOAD = "shared-load"
+    """Engines are chosen by the calls of all daemons, where each daemon has few."""
+    CALL_URGENCY = "call-urgency"
+    """Engines are told which of their waiting calls are more urgent."""
+    LIMIT_RESERVE = "limit-reserve"
+    """Limits reserve calls for running programs, where callers compete."""
+    LIMIT_RECOVERY = "limit-recovery"
+    """A new owner of a limit recovers the recent calls, where callers compete."""
+    OUTAGE_REFUSALS = "outage-refusals"
+    """Calls that need the store are refused early while it is down."""
 
 
 ALL_MECHANISMS = frozenset(Mechanism)
--- a/tests/unit/platform/test_settings.py
+++ b/tests/unit/platform/test_settings.py
@@ -46,3 +46,12 @@
     assert settings.ok_value.regions == {"a": "north", "b": "north", "c": "south"}
     assert settings.ok_value.cold_tolerance == ColdTolerance(1.5, 5.0)
     assert read_settings(TEXT).ok_value.cold_tolerance == ColdTolerance()
+
+
+def test_competing_callers_and_the_memory_limit_are_read():
+    plain = read_settings(TEXT).unwrap()
+    assert not plain.has_competing_callers
+    competing = f"{TEXT}\ncontracts=base,tenants,pressure\nlimits.memory_mb=128\n"
+    settings = read_settings(competing).unwrap()
+    assert settings.has_competing_callers
+    assert settings.memory_bytes == 128 * 1024 * 1024
