--- a/deploy/regression/__init__.py
+++ b/deploy/regression/__init__.py
@@ -1,1 +1,1 @@
-"""The regression runs: a score of each deployment in the standing set."""
+"""The regression runs: a score of each deployment in the regression set."""
--- a/deploy/regression/__main__.py
+++ b/deploy/regression/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m deploy.regression`: plays the standing set and writes the pages anew."""
+"""`python -m deploy.regression`: plays the regression set and rewrites the pages."""
 
 import argparse
 from pathlib import Path
--- a/deploy/regression/scores.py
+++ b/deploy/regression/scores.py
@@ -11,12 +11,12 @@
 
 
 class Site(msgspec.Struct, frozen=True):
-    """A deployment of the standing set."""
+    """A deployment of the regression set."""
 
     file: Path
     """Within the folder of the kit that has the deployments."""
     most_jobs: int
-    """So many of its days may be played at a time."""
+    """Maximum number of its days played concurrently."""
 
 
 class Scored(msgspec.Struct, frozen=True):
--- a/deploy/soak/callers.py
+++ b/deploy/soak/callers.py
@@ -38,7 +38,7 @@
 
 
 class Answer:
-    """Hears one answer for the oracle; a `ResponseListener`."""
+    """Records one answer for the oracle; a `ResponseListener`."""
 
     def __init__(self, reactor: Any, asked: Asked) -> None:
         """Wait for an answer."""
@@ -90,7 +90,7 @@
 
 
 class Callers:
-    """Keeps so many programs under way."""
+    """Keeps a number of programs running."""
 
     def __init__(
         self,
--- a/deploy/soak/command.py
+++ b/deploy/soak/command.py
@@ -151,13 +151,13 @@
             daemon.kill()
 
     def _in_contact(self) -> list[Violation]:
-        """Judge what daemons promise only while nothing but planned work goes on."""
+        """Check what daemons promise only while nothing but planned work goes on."""
         if not self._size.is_planned_only:
             return []
         return self.oracle.cut() + self.oracle.in_drained_zones()
 
     def report(self) -> SoakReport:
-        """Judge everything that was seen."""
+        """Check all observations."""
         served, asked = self.oracle.served_since(self._calm_at)
         all_served, _ = self.oracle.served_since(0.0)
         return SoakReport(
--- a/deploy/soak/daemons.py
+++ b/deploy/soak/daemons.py
@@ -55,7 +55,7 @@
         self.is_stopped = False
         """Whether it was paused by a signal."""
         self.is_stopping = False
-        """Whether it was told to stop."""
+        """Whether it received a stop signal."""
         self.own_ends = 0
         """How often it ended by itself."""
 
--- a/deploy/soak/engine_server.py
+++ b/deploy/soak/engine_server.py
@@ -199,7 +199,7 @@
         self._oracle.runs[running.request].append(run)
 
     def ended(self, running: "Running") -> None:
-        """Forget a run."""
+        """Remove a run."""
         self._open.discard(running)
 
     def lapse(self) -> None:
--- a/deploy/soak/link_proxy.py
+++ b/deploy/soak/link_proxy.py
@@ -20,7 +20,7 @@
     DELAY = "delay"
     """Every byte comes later."""
     SILENT = "silent"
-    """Nothing passes, and nobody is told."""
+    """Drops all data without closing the connection."""
     SILENT_BACK = "silent back"
     """Only what the server says is lost."""
     REFUSE = "refuse"
--- a/deploy/soak/oracle.py
+++ b/deploy/soak/oracle.py
@@ -67,7 +67,7 @@
     after_event: int
     """-1 if it began at the beginning."""
     tenant: str = ""
-    """As the engine was told."""
+    """As sent to the engine."""
     has_key: bool = False
     """Whether a key reached the engine."""
     at: float = 0.0
@@ -153,7 +153,7 @@
         return found
 
     def _judge_key(self, asked: Asked) -> list[Violation]:
-        """Judge the key of a request that ran."""
+        """Check the key of a request that ran."""
         if asked.key == NEVER_HELD:
             return [Violation("ROUTE", asked.id, "nobody ever held its key")]
         tenant = self._tenant(asked.tenant)
--- a/deploy/soak/readiness.py
+++ b/deploy/soak/readiness.py
@@ -47,7 +47,7 @@
     """One question to one daemon; a `ResponseListener`."""
 
     def __init__(self, reactor: Any, daemon: SoakDaemon, hear: Any) -> None:
-        """Tell `hear` once."""
+        """Call `hear` once."""
         self._reactor = reactor
         self._daemon = daemon
         self._hear = hear
--- a/deploy/soak/tenants.py
+++ b/deploy/soak/tenants.py
@@ -13,7 +13,7 @@
 NEVER_HELD = "never-held"
 """A key that no configuration has."""
 LEARN_SECONDS = 3.0
-"""Callers use a new key only after so long, when daemons in contact have it."""
+"""Callers use a new key only after this time, when connected daemons have it."""
 
 
 class SoakTenant(msgspec.Struct):
--- a/deploy/soak/zones.py
+++ b/deploy/soak/zones.py
@@ -10,7 +10,7 @@
 HOME_REGION = "north"
 """Where calls of the route with residence may be served."""
 EVACUATION_SECONDS = 4.0
-"""A drained zone's engines get nothing after so long, from daemons in contact."""
+"""A drained zone's engines get nothing after this time from connected daemons."""
 COLD_SECONDS = 2.0
 COLD_PER_SECOND = 4.0
 COLD_FACTOR = 1.5
--- a/deploy/troubles/play.py
+++ b/deploy/troubles/play.py
@@ -68,7 +68,7 @@
     program: Path
     why: str
     jobs: int
-    """So many days are played at a time."""
+    """Number of days played concurrently."""
 
 
 def play_all(bench: Bench, plays: list[Play]) -> list[PlayedDay]:
--- a/emulator/engine/batch.py
+++ b/emulator/engine/batch.py
@@ -96,7 +96,7 @@
         return StepPlan(steps, seconds, prefill)
 
     def apply(self, plan: StepPlan, steps: int) -> BatchChange:
-        """Carry out `steps` of a plan, no more than it has."""
+        """Run `steps` of a plan, or all that it has if fewer."""
         self.step += steps
         self._counters.tokens_decoded += steps * self._decoding_count
         finished = self._finish_decoding()
@@ -122,7 +122,7 @@
         run.tokens = self.tokens_of(run)
 
     def clear(self) -> None:
-        """Forget all runs."""
+        """Clear all runs."""
         self.waiting.clear()
         self._prefilling.clear()
         self._decoding.clear()
--- a/emulator/engine/cache_events.py
+++ b/emulator/engine/cache_events.py
@@ -9,7 +9,7 @@
 from notcharch.values.identifiers import ProgramId
 
 KEPT_EVENTS = 20_000
-"""Older events are gone, which readers see as a gap."""
+"""Older events are dropped, which readers see as a gap."""
 
 
 @attrs.frozen
--- a/emulator/engine/counters.py
+++ b/emulator/engine/counters.py
@@ -30,7 +30,7 @@
     refused_stale_epoch: int = 0
     tokens_prefilled: int = 0
     tokens_cached: int = 0
-    """Prompt tokens that the cache spared: hits."""
+    """Prompt tokens found in the cache (hits)."""
 
     tokens_decoded: int = 0
     tokens_refilled: int = 0
--- a/emulator/engine/host.py
+++ b/emulator/engine/host.py
@@ -22,7 +22,7 @@
         return self._order_model_fault(fault, argument)
 
     def clear_faults(self) -> None:
-        """End all standing faults; what a restart forgot stays forgotten."""
+        """End all active faults; state lost in a restart stays lost."""
         model = self.model
         self.transport.clear()
         model.events.delay_seconds = model.rates.cache_event_delay_seconds
--- a/emulator/engine/load_report.py
+++ b/emulator/engine/load_report.py
@@ -1,4 +1,4 @@
-"""The load report, measured only now and then."""
+"""The load report, refreshed at an interval."""
 
 import math
 from collections.abc import Callable
--- a/emulator/engine/model.py
+++ b/emulator/engine/model.py
@@ -187,7 +187,7 @@
     # Life
 
     def restart(self) -> None:
-        """Forget everything: requests, cache, epochs, events."""
+        """Clear all state: requests, cache, epochs, events."""
         runs = self._runs.all()
         self._stepper.batch_changed()
         self._stepper.drop()
@@ -216,7 +216,7 @@
         self.on_change()
 
     def set_slowdown(self, factor: float) -> None:
-        """Make each further step last so many times as long."""
+        """Multiply the duration of each further step by a factor."""
         self.batch.slowdown = factor
         self._stepper.batch_changed()
 
@@ -361,4 +361,4 @@
 
 
 def _nothing() -> None:
-    """Hear no change."""
+    """Ignore a change."""
--- a/emulator/engine/orders.py
+++ b/emulator/engine/orders.py
@@ -88,4 +88,4 @@
 
 
 def _nothing() -> None:
-    """Hear no change."""
+    """Ignore a change."""
--- a/emulator/engine/prefix_cache.py
+++ b/emulator/engine/prefix_cache.py
@@ -94,7 +94,7 @@
         fills: FillHistory,
         on_event: CacheEventSink,
     ) -> None:
-        """Begin empty; `on_event` hears what is stored and evicted."""
+        """Start empty; `on_event` is called for what is stored and evicted."""
         self.total_blocks = total_blocks
         self.block_tokens = block_tokens
         self.free_blocks = total_blocks
@@ -106,7 +106,7 @@
         self._evictable_blocks = 0
 
     def fits(self, tokens: int) -> bool:
-        """Tell whether so many tokens could ever be held."""
+        """Return whether a number of tokens fits the cache at all."""
         return self._blocks_of(tokens) <= self.total_blocks
 
     def programs(self) -> tuple[CachedProgram, ...]:
@@ -193,7 +193,7 @@
         return True
 
     def lose_everything(self) -> None:
-        """Forget all, as a restart does."""
+        """Clear the cache, as a restart does."""
         self._counters.tokens_lost_unused += sum(
             prefix.tokens - prefix.reused for prefix in self._prefixes.values()
         )
--- a/emulator/engine/run_registry.py
+++ b/emulator/engine/run_registry.py
@@ -41,7 +41,7 @@
         return tuple(self._runs.values())
 
     def clear(self) -> None:
-        """Forget everything."""
+        """Clear all entries."""
         self._runs.clear()
         self._used_ids.clear()
         self._ended.clear()
@@ -72,5 +72,5 @@
         return None
 
     def clear(self) -> None:
-        """Forget all."""
+        """Clear all entries."""
         self._epochs.clear()
--- a/emulator/engine/stepper.py
+++ b/emulator/engine/stepper.py
@@ -13,7 +13,7 @@
 
 
 class Stepper:
-    """Turns plans into time; `on_change` hears what each finished plan did."""
+    """Runs plans over time; `on_change` is called with the effects of each finished plan."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
     ) -> None:
         """Begin idle; a plan covers at most `longest_plan` steps.
 
-        `before_change` hears when a plan ends, before it has any effect; `on_change`
+        `before_change` is called when a plan ends, before it has any effect; `on_change`
         gets what it did and when it ended, and calls `begin`.
         """
         self._clock = clock
@@ -70,7 +70,7 @@
         self.begin(self._clock.seconds())
 
     def drop(self) -> None:
-        """Forget the present plan, as a restart does."""
+        """Drop the current plan, as a restart does."""
         self._plan = None
         if self._timer is not None:
             self._timer.cancel()
--- a/emulator/faults.py
+++ b/emulator/faults.py
@@ -153,7 +153,7 @@
 
 
 def _nothing() -> None:
-    """Hear nothing."""
+    """Ignore the call."""
 
 
 def _count(argument: float | None) -> int:
@@ -167,7 +167,7 @@
         """Begin a fault; False when this target cannot have it."""
 
     def clear_faults(self) -> None:
-        """End all standing faults."""
+        """End all active faults."""
 
 
 class ServiceFaults:
@@ -211,6 +211,6 @@
         return Ok(None)
 
     def clear(self) -> None:
-        """End all standing faults of all targets."""
+        """End all active faults of all targets."""
         for target in self._targets.values():
             target.clear_faults()
--- a/emulator/http/control_server.py
+++ b/emulator/http/control_server.py
@@ -74,7 +74,7 @@
 
     @app.route("/control/faults", methods=["DELETE"])
     def clear_faults(self, request: Request) -> Reply:
-        """End all standing faults."""
+        """End all active faults."""
         self._models.faults.clear()
         return succeed(json_reply(request, Done()))
 
--- a/emulator/http/journal_server.py
+++ b/emulator/http/journal_server.py
@@ -102,7 +102,7 @@
 
     @app.route(messages.Owners.PATH, methods=["POST"])
     def owners(self, request: Request) -> Reply:
-        """Tell who each partition is dealt to."""
+        """Return the owner of each partition."""
         return self._answer(
             request, messages.Owners, lambda call: self._log.owners(call.group)
         )
--- a/emulator/http/stream_writer.py
+++ b/emulator/http/stream_writer.py
@@ -75,7 +75,7 @@
         self.run_progressed(self._run)
 
     def stopProducing(self) -> None:  # noqa: N802 - Twisted's name
-        """Stop: the caller is gone."""
+        """Stop: the caller has disconnected."""
         self._end()
 
     def _connection_lost(self, _: Failure) -> None:
--- a/emulator/memory_journal.py
+++ b/emulator/memory_journal.py
@@ -84,7 +84,7 @@
         return self._call(lambda: self._log.leave(group, member))
 
     def owners(self, group: str) -> "Deferred[Answer[tuple[Ownership, ...]]]":
-        """Tell who each partition is dealt to."""
+        """Return the owner of each partition."""
         return self._call(lambda: self._log.owners(group))
 
     def _call(
--- a/emulator/memory_stream.py
+++ b/emulator/memory_stream.py
@@ -46,11 +46,11 @@
         self._after_latency(self._open)
 
     def pause(self) -> None:
-        """Take no more events; the engine keeps them."""
+        """Stop reading events; the engine buffers them."""
         self._is_paused = True
 
     def resume(self) -> None:
-        """Take all events that have gathered."""
+        """Return all buffered events."""
         self._is_paused = False
         if self._run is not None:
             self.run_progressed(self._run)
--- a/emulator/peers/network.py
+++ b/emulator/peers/network.py
@@ -87,11 +87,11 @@
         self._handlers.on_notice(message_type, handler)
 
     def set_address(self, daemon: DaemonName, address: str) -> None:
-        """Make a forgotten peer reachable again; names suffice as addresses."""
+        """Make a removed peer reachable again; names serve as addresses."""
         self._forgotten.discard(daemon)
 
     def forget(self, daemon: DaemonName) -> None:
-        """Drop a peer that is gone, failing its open requests."""
+        """Remove a stopped peer; its open requests fail."""
         self._forgotten.add(daemon)
         self._fail_open(daemon, "the peer is gone")
 
--- a/emulator/peers/time.py
+++ b/emulator/peers/time.py
@@ -168,7 +168,7 @@
             self._queue.schedule(0.0, partial(self.run_or_hold, function))
 
     def stop(self) -> None:
-        """Crash: nothing of this daemon happens any more."""
+        """Crash: none of this daemon's timers fire after this."""
         self._stopped = True
         self._held.clear()
 
--- a/emulator/services/log_groups.py
+++ b/emulator/services/log_groups.py
@@ -1,4 +1,4 @@
-"""The groups of the stand-in's log service: leases, and partitions dealt evenly."""
+"""The groups of the stand-in's log service: leases, and an even assignment of partitions."""
 
 import msgspec
 from twisted.internet.interfaces import IReactorTime
@@ -35,7 +35,7 @@
     """All groups."""
 
     def __init__(self, clock: IReactorTime, partitions: int) -> None:
-        """Deal out so many partitions of each topic."""
+        """Assign `partitions` partitions of each topic."""
         self._clock = clock
         self._partitions = partitions
         self._groups: dict[str, Group] = {}
@@ -133,7 +133,7 @@
             group.releases[partition] = Release(former, group.generation)
 
     def owners(self, name: str) -> tuple[Ownership, ...]:
-        """Tell who each partition is dealt to."""
+        """Return the owner of each partition."""
         group = self._group(name)
         return tuple(
             Ownership(partition, holder)
@@ -141,7 +141,7 @@
         )
 
     def rebalance(self, name: str) -> None:
-        """Deal all partitions anew."""
+        """Reassign all partitions."""
         group = self._group(name)
         members = sorted(group.leases)
         group.generation += 1
--- a/emulator/services/partitioned_log.py
+++ b/emulator/services/partitioned_log.py
@@ -103,7 +103,7 @@
         return None
 
     def drop_before(self, offset: int) -> None:
-        """Forget the oldest records."""
+        """Drop the oldest records."""
         dropped = max(0, min(offset, self.end) - self.first)
         self.records = self.records[dropped:]
         self.first += dropped
@@ -120,7 +120,7 @@
     """The log service, in memory."""
 
     def __init__(self, clock: IReactorTime, random: Random, partitions: int) -> None:
-        """Begin with empty topics of so many partitions."""
+        """Start with empty topics that have `partitions` partitions each."""
         self._clock = clock
         self._random = random
         self._partitions: dict[tuple[str, int], Partition] = {}
@@ -266,5 +266,5 @@
     def owners(
         self, group: str
     ) -> "Deferred[Result[tuple[Ownership, ...], LogProblem]]":
-        """Tell who each partition is dealt to."""
+        """Return the owner of each partition."""
         return self._answer(lambda: Ok(self.groups.owners(group)))
--- a/emulator/system.py
+++ b/emulator/system.py
@@ -48,7 +48,7 @@
         self.models.machines.put(machine)
 
     def remove_machine(self, name: str) -> None:
-        """Say that a machine is gone."""
+        """Report that a machine was removed."""
         machine = self.models.machines.find(name)
         if machine is not None:
             gone = msgspec.structs.replace(machine, state=MachineState.GONE)
--- a/emulator/virtual_clock.py
+++ b/emulator/virtual_clock.py
@@ -18,7 +18,7 @@
     """Twisted's time interface, moved by `advance`."""
 
     def __init__(self, seconds: float = 0.0) -> None:
-        """Begin at a time."""
+        """Start at a time."""
         self._now = seconds
         self._order = 0
         self._heap: list[tuple[float, int, DelayedCall]] = []
--- a/experiments/faults/checks.py
+++ b/experiments/faults/checks.py
@@ -10,7 +10,7 @@
 
 MOST_FINDINGS_SHOWN = 20
 LEAVING_SECONDS = 5.0
-"""A leaving engine gets no new work after so long: the list's lag and two polls."""
+"""A leaving engine gets no new work after this time: the list's lag and two polls."""
 
 
 class Check(msgspec.Struct, frozen=True):
--- a/experiments/faults/programs.py
+++ b/experiments/faults/programs.py
@@ -71,7 +71,7 @@
 
 
 class ProgramPlayer:
-    """Plays programs and judges every answer and every whole history."""
+    """Runs programs and checks every answer and every complete history."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         self._is_ending = False
 
     def play(self, players: int) -> "Deferred[Any]":
-        """Keep so many programs under way; fires when the last has ended."""
+        """Keep a number of programs running; fires when the last has ended."""
         kinds = tuple(Kind)
         loops = [
             Deferred.fromCoroutine(self._play_on(kinds[number % len(kinds)], number))
--- a/experiments/faults/region.py
+++ b/experiments/faults/region.py
@@ -162,7 +162,7 @@
             await self._control_request("POST", "faults", msgspec.json.encode(fault))
 
     async def clear(self) -> None:
-        """End all standing faults of the stand-ins."""
+        """End all active faults of the stand-ins."""
         await self._control_request("DELETE", "faults", None)
 
     async def snapshot(self) -> EmulatorSnapshot:
--- a/experiments/load_client.py
+++ b/experiments/load_client.py
@@ -217,7 +217,7 @@
 
 
 def _content_of(data: bytes, *, is_stream: bool) -> str | None:
-    """Give the content of a whole answer; None for a stream that broke."""
+    """Return the content of a complete answer; None for a broken stream."""
     if not is_stream:
         reply = msgspec.json.decode(data, type=AnswerReply)
         return reply.choices[0].message.content or ""
--- a/experiments/workloads.py
+++ b/experiments/workloads.py
@@ -111,7 +111,7 @@
 
 
 class ProgramRunner:
-    """Plays programs against the gateway and judges every answer."""
+    """Runs programs against the gateway and checks every answer."""
 
     def __init__(
         self,
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -52,7 +52,7 @@
 
 
 def main() -> int:
-    """Run the tests and judge them against the list."""
+    """Run the tests and compare the failures with the list."""
     listed, problems = known_red()
     with TemporaryDirectory() as folder:
         report = Path(folder) / "report.xml"
