--- a/notcharch/accounts/messages.py
+++ b/notcharch/accounts/messages.py
@@ -150,6 +150,6 @@
 )
 
 
-def account_codec() -> MessageCodec:
-    """Return the codec of the account messages."""
-    return MessageCodec(ACCOUNT_MESSAGES)
+def account_codec(others: tuple[type[Message], ...] = ()) -> MessageCodec:
+    """Return the codec of the account messages, and of `others` on the same network."""
+    return MessageCodec((*ACCOUNT_MESSAGES, *others))
--- a/notcharch/accounts/service.py
+++ b/notcharch/accounts/service.py
@@ -29,6 +29,7 @@
 from notcharch.values.identifiers import Member, RegionName
 from notcharch.wire.connections import TcpPeerNetwork
 from notcharch.wire.limits import ConnectionLimits
+from notcharch.wire.messages.base import Message
 from notcharch.wire.peers import PeerNetwork
 
 TOPIC = "accounts"
@@ -177,15 +178,22 @@
 
 
 def account_network(
-    reactor: TimedReactor, local_member: Member, random: Random
+    reactor: TimedReactor,
+    local_member: Member,
+    random: Random,
+    *,
+    other_messages: tuple[type[Message], ...] = (),
 ) -> TcpPeerNetwork:
-    """Create the peer network between the daemons that own accounts."""
+    """Create the peer network between the daemons that own accounts.
+
+    Other services of the daemons use it too; `other_messages` are theirs.
+    """
     return TcpPeerNetwork(
         reactor,
         reactor,
         own=local_member,
         region=REGION,
-        codec=account_codec(),
+        codec=account_codec(other_messages),
         random=random,
         limits=LIMITS,
     )
--- /dev/null
+++ b/notcharch/engine_load/__init__.py
@@ -0,0 +1,1 @@
+"""Shares the load of engines among daemons, through a few load trackers per service."""
--- a/notcharch/explain/explanation.py
+++ b/notcharch/explain/explanation.py
@@ -23,6 +23,7 @@
     RequestMalformed,
     RequestWithoutRoute,
 )
+from notcharch.events.engine_load import LoadTrackerSilent
 from notcharch.events.process import (
     DependencyLost,
     DependencyRegained,
@@ -63,6 +64,7 @@
     LinesDropped.number,
     ProcessPaused.number,
     KeysUnsure.number,
+    LoadTrackerSilent.number,
 )
 SPENT = 402
 OVER_LIMIT = 429
@@ -300,6 +302,11 @@
         elif line.number == KeysUnsure.number:
             verb = "could judge" if line.fields.get("is_sure") else "could not judge"
             told.append(f"{line.machine} {verb} keys")
+        elif line.number == LoadTrackerSilent.number:
+            told.append(
+                f"{line.machine} got no engine loads from {line.text('tracker')} "
+                f"({line.text('cause')})"
+            )
         elif line.number == ProcessPaused.number:
             told.append(f"{line.machine} stood still for {line.text('seconds')} s")
         elif line.number in (ProcessStarted.number, ProcessStopping.number):
--- a/notcharch/platform/process.py
+++ b/notcharch/platform/process.py
@@ -22,7 +22,10 @@
 from notcharch.calls.engine_run import CallServices
 from notcharch.calls.engine_sender import EngineSender
 from notcharch.calls.engines import EnginePool
+from notcharch.calls.interface import LoadExchange, NoLoadExchange
 from notcharch.calls.policies import cold_policy, pool_policy, wait_policy
+from notcharch.engine_load.exchange import EngineLoadExchange
+from notcharch.engine_load.messages import ENGINE_LOAD_MESSAGES
 from notcharch.events.calls import CallerNotIdentified, CallServed
 from notcharch.events.event import emit
 from notcharch.events.output import LogOutput
@@ -103,7 +106,9 @@
         self._requester = Requester(reactor, store.host, store.port, settings.host)
         platform_store = PlatformStore(self._requester, reactor)
         local_member = Member(DaemonName(settings.machine), new_incarnation())
-        self._network = account_network(reactor, local_member, random)
+        self._network = account_network(
+            reactor, local_member, random, other_messages=ENGINE_LOAD_MESSAGES
+        )
         suspicions = SharedSuspicions(
             is_shared=Mechanism.SHARED_SUSPICIONS in mechanisms
         )
@@ -127,6 +132,7 @@
             recovery=recovery,
             tenant=self._tenant,
         )
+        known_daemons = KnownDaemons(settings.machine, self._accounts.directory)
         pool = EnginePool(
             reactor,
             Nearness(settings.zone, settings.regions),
@@ -136,9 +142,10 @@
             eligibility=EngineEligibility(
                 settings.regions,
                 cold_policy(mechanisms, settings.cold_tolerance),
-                KnownDaemons(settings.machine, self._accounts.directory),
+                known_daemons,
             ),
         )
+        self._loads = self._load_exchange(pool, known_daemons, random)
         sender = EngineSender(reactor, settings.host)
         self._freshness = TableFreshness(settings.revoke_seconds)
         self._check = CallerCheck(reactor, self._freshness)
@@ -217,6 +224,8 @@
         self._network.listen(settings.host, settings.peer_ports[0])
         self._accounts.start()
         self._tables.start()
+        if isinstance(self._loads, EngineLoadExchange):
+            self._loads.start()
         if Mechanism.TABLE_VOUCHING in self._mechanisms:
             self._freshness_exchange.start()
         self._ticks.start(TICK_INTERVAL_SECONDS, now=False)
@@ -230,6 +239,20 @@
             )
         )
 
+    def _load_exchange(
+        self, pool: EnginePool, known_daemons: KnownDaemons, random: Random
+    ) -> LoadExchange:
+        if Mechanism.SHARED_LOAD not in self._mechanisms:
+            return NoLoadExchange()
+        return EngineLoadExchange(
+            self._reactor,
+            random,
+            self._network,
+            pool,
+            members=known_daemons.members,
+            engines=lambda: self._tables.engine_services,
+        )
+
     def _tenant(self, name: str) -> Tenant | None:
         return self._ingress.tenant(name)
 
--- a/notcharch/platform/tables.py
+++ b/notcharch/platform/tables.py
@@ -1,6 +1,6 @@
 """Follows the operator's configuration and the engines' entries in the store."""
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from random import Random
 
 import msgspec
@@ -101,6 +101,8 @@
         """Version of the table last read from the store; negative if it is invalid."""
         self.raw_table = b""
         """The table in force, as stored by the operator."""
+        self.engine_services: Mapping[str, str] = {}
+        """The service of each listed engine by id; another object after each change."""
         self._clock = clock
         self._ingress = ingress
         self._pool = pool
@@ -214,6 +216,7 @@
         removed = self._pool.replace(engines.values())
         for engine_id in removed:
             self._sender.close_idle(engine_id)
+        self.engine_services = {id: engine.service for id, engine in engines.items()}
         self._has_engines = True
         self._log.listed(engines, removed)
 
--- a/notcharch/scheduling/engine_load.py
+++ b/notcharch/scheduling/engine_load.py
@@ -3,7 +3,7 @@
 import msgspec
 
 
-class EngineLoad(msgspec.Struct, frozen=True):
+class EngineLoad(msgspec.Struct, frozen=True, array_like=True):
     """Calls in flight at one engine from all daemons, and the engine's speed."""
 
     engine: str
--- /dev/null
+++ b/notcharch/scheduling/load_trackers.py
@@ -0,0 +1,106 @@
+"""Which daemons track the load of a service's engines, and when they are needed. Pure.
+
+The choice depends only on the members and the names, so daemons with the same view of
+the members agree without a message.
+"""
+
+import enum
+import math
+from collections.abc import Collection, Sequence
+from random import Random
+
+import xxhash
+
+MEMBERS_PER_TRACKER = 12
+"""Members per load tracker, so that the work of a tracker does not grow with them."""
+MIN_SLOTS_PER_MEMBER = 3
+"""With fewer slots per daemon, its own calls say next to nothing about an engine."""
+MIN_RUN_SECONDS = 0.05
+"""A request takes 2 ms; it must not cost a short call a tenth of its time."""
+MIN_REPORTED_RUN_SECONDS = MIN_RUN_SECONDS / 2
+"""Daemons that measure a slightly shorter run still report calls: counts stay whole."""
+ASKED_TRACKERS = 3
+"""Trackers asked for one call, if there are as many."""
+
+
+class ExchangeMode(enum.Enum):
+    """What a daemon does about the load of one service's engines."""
+
+    OFF = "off"
+    """The daemon's own calls are enough, or the calls are too short."""
+    REPORTS = "reports"
+    """Calls are reported, but no loads are requested."""
+    REQUESTS = "requests"
+    """Calls are reported, and loads are requested for each dispatch."""
+
+
+def exchange_mode(
+    slots: int, members: int, mean_run_seconds: float | None
+) -> ExchangeMode:
+    """Return the mode for a service with a number of slots and a mean run of its calls.
+
+    Calls of unknown duration are reported, as they may be long, but do not wait.
+    """
+    if slots >= MIN_SLOTS_PER_MEMBER * members:
+        return ExchangeMode.OFF
+    if mean_run_seconds is None:
+        return ExchangeMode.REPORTS
+    if mean_run_seconds >= MIN_RUN_SECONDS:
+        return ExchangeMode.REQUESTS
+    if mean_run_seconds >= MIN_REPORTED_RUN_SECONDS:
+        return ExchangeMode.REPORTS
+    return ExchangeMode.OFF
+
+
+def tracker_count(members: int) -> int:
+    """Return the number of trackers of each service."""
+    return math.ceil(members / MEMBERS_PER_TRACKER)
+
+
+def _rank(member: str, name: str) -> int:
+    return xxhash.xxh64_intdigest(f"{member}|{name}".encode())
+
+
+class TrackerElection:
+    """The trackers by one view of the members; results are cached."""
+
+    def __init__(self, members: Sequence[str]) -> None:
+        """Elect among `members`."""
+        self.members = members
+        self._trackers: dict[str, tuple[str, ...]] = {}
+        self._tracker_of: dict[tuple[str, str], str] = {}
+
+    def trackers(self, service: str) -> tuple[str, ...]:
+        """Return the trackers of a service; none without members."""
+        known = self._trackers.get(service)
+        if known is None:
+            ranked = sorted(self.members, key=lambda member: _rank(member, service))
+            known = tuple(ranked[: tracker_count(len(self.members))])
+            self._trackers[service] = known
+        return known
+
+    def tracker(self, service: str, engine: str) -> str | None:
+        """Return the tracker of an engine; None without members."""
+        key = (service, engine)
+        known = self._tracker_of.get(key)
+        if known is not None:
+            return known
+        trackers = self.trackers(service)
+        if not trackers:
+            return None
+        elected = min(trackers, key=lambda member: _rank(member, engine))
+        self._tracker_of[key] = elected
+        return elected
+
+
+def trackers_to_ask(
+    candidates: Collection[str],
+    cached_tracker: str | None,
+    random: Random,
+    count: int = ASKED_TRACKERS,
+) -> list[str]:
+    """Return the tracker of the cached engine, if it is a candidate, and random others."""
+    first = [cached_tracker] if cached_tracker in candidates else []
+    others = [name for name in candidates if name != cached_tracker]
+    drawn = random.sample(others, min(count - len(first), len(others)))
+    return [name for name in first if name is not None] + drawn
--- a/tests/unit/explain/test_explanation.py
+++ b/tests/unit/explain/test_explanation.py
@@ -21,6 +21,7 @@
     RequestMalformed,
     RequestWithoutRoute,
 )
+from notcharch.events.engine_load import LoadTrackerSilent
 from notcharch.events.process import (
     DependencyLost,
     LinesDropped,
@@ -110,6 +111,14 @@
         "cut after 4 events while settling: not durable; before it: a could not "
         "reach keyed.op (no answer)",
     ),
+    (
+        [
+            line(0.2, "a", LoadTrackerSilent("b", "model", "no reply in time")),
+            line(1.0, "a", CallerLeft("r", "p", "at engine", "i-1", 0, 3.0)),
+        ],
+        "the caller left after 3.0 s while at engine; before it: a got no engine loads "
+        "from b (no reply in time)",
+    ),
     (
         [line(1.0, "a", CallerLeft("r", "p", "at engine", "i-1", 0, 3.0))],
         "the caller left after 3.0 s while at engine",
--- a/tools/check_layers.py
+++ b/tools/check_layers.py
@@ -20,6 +20,7 @@
     ("clients",),
     ("accounts",),
     ("journal",),
+    ("engine_load",),
     ("calls",),
     ("tenants",),
     ("scheduling",),
