--- a/notcharch/engine_load/exchange.py
+++ b/notcharch/engine_load/exchange.py
@@ -39,7 +39,7 @@
 from notcharch.scheduling.engine_load import EngineLoad
 from notcharch.scheduling.load_trackers import (
     ExchangeMode,
-    TrackerElection,
+    TrackerViews,
     trackers_to_ask,
 )
 from notcharch.values.identifiers import DaemonName, Member
@@ -81,7 +81,7 @@
         self._members = members
         self._engines = engines
         self._local = str(network.own_member.daemon)
-        self._election = TrackerElection(())
+        self._views = TrackerViews()
         self._elected_from: Mapping[str, str] | None = None
         """The engines among which the present ones were elected."""
         self._own = OwnCalls()
@@ -140,7 +140,7 @@
             self._schedule_flush(END_DELAY_SECONDS)
 
     def _mode(self, service: str) -> ExchangeMode:
-        members = len(self._election.members)
+        members = len(self._views.members)
         return self._modes.mode(service, members, self._clock.seconds())
 
     def _reports(self, service: str) -> bool:
@@ -153,14 +153,13 @@
         self, service: str, cached_engine: str, now: float
     ) -> list[str]:
         """Choose among the other trackers; this daemon's own loads cost nothing."""
+        election = self._views.asked
         candidates = [
             tracker
-            for tracker in self._election.trackers(service)
+            for tracker in election.trackers(service)
             if tracker != self._local and self._answers.may_ask(tracker, now)
         ]
-        cached = (
-            self._election.tracker(service, cached_engine) if cached_engine else None
-        )
+        cached = election.tracker(service, cached_engine) if cached_engine else None
         return trackers_to_ask(candidates, cached, self._random)
 
     def _ask(self, tracker: str, service: str, request: LoadRequest) -> None:
@@ -204,12 +203,12 @@
     def _send_changes(self) -> None:
         self._flush = None
         for service in self._own.services:
-            self._send(self._own.take_changes(service, self._election))
+            self._send(self._own.take_changes(service, self._views))
 
     def _send_refresh(self) -> None:
         for service in self._own.services:
             if self._mode(service) is not ExchangeMode.OFF:
-                self._send(self._own.take_refresh(service, self._election))
+                self._send(self._own.take_refresh(service, self._views))
 
     def _send(self, notices: Mapping[str, EngineCallsChanged]) -> None:
         now = self._clock.seconds()
@@ -238,22 +237,21 @@
             emit(LoadTrackingRestarted(round(seconds, 3), count))
 
     def _update_election(self) -> None:
-        members = self._members()
+        now = self._clock.seconds()
         engines = self._engines()
-        is_new = members != self._election.members
+        is_new = self._views.update(self._members(), now)
         if is_new:
-            self._election = TrackerElection(members)
-            self._answers.keep(members)
+            self._answers.keep(self._views.known_members())
         if is_new or engines is not self._elected_from:
             self._elected_from = engines
-            self._tracked.elect(self._elected(engines), self._clock.seconds())
+            self._tracked.elect(self._elected(engines), now)
 
     def _elected(self, engines: Mapping[str, str]) -> dict[str, str]:
         """Return the engines of which this daemon is the tracker, with their services."""
         return {
             engine: service
             for engine, service in engines.items()
-            if self._election.tracker(service, engine) == self._local
+            if self._views.current.tracker(service, engine) == self._local
         }
 
     def _local_loads(self, service: str) -> tuple[EngineLoad, ...]:
--- a/notcharch/engine_load/own_calls.py
+++ b/notcharch/engine_load/own_calls.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from notcharch.engine_load.messages import EngineCallsChanged, FinishedCall
-from notcharch.scheduling.load_trackers import TrackerElection
+from notcharch.scheduling.load_trackers import TrackerViews
 
 
 class _ServiceCalls(msgspec.Struct):
@@ -63,19 +63,20 @@
         calls = self._services.get(service)
         if calls is not None:
             calls.changed.clear()
+            calls.refreshed.clear()
             calls.finished.clear()
 
     def take_changes(
-        self, service: str, election: TrackerElection
+        self, service: str, views: TrackerViews
     ) -> dict[str, EngineCallsChanged]:
         """Return the notices of what has changed since the last ones, by tracker."""
         calls = self._services[service]
         engines, finished = calls.changed, calls.finished
         calls.changed, calls.finished = set(), []
-        return self._notices(service, engines, finished, election)
+        return self._notices(service, engines, finished, views)
 
     def take_refresh(
-        self, service: str, election: TrackerElection
+        self, service: str, views: TrackerViews
     ) -> dict[str, EngineCallsChanged]:
         """Return the notices of all engines with calls since the last refresh, by tracker.
 
@@ -85,25 +86,23 @@
         calls = self._services[service]
         engines = calls.refreshed | calls.in_flight.keys()
         calls.refreshed = set(calls.in_flight)
-        return self._notices(service, engines, (), election)
+        return self._notices(service, engines, (), views)
 
     def _notices(
         self,
         service: str,
         engines: Iterable[str],
         finished: Iterable[FinishedCall],
-        election: TrackerElection,
+        views: TrackerViews,
     ) -> dict[str, EngineCallsChanged]:
         in_flight = self._services[service].in_flight
         counts: dict[str, dict[str, int]] = {}
         for engine in engines:
-            tracker = election.tracker(service, engine)
-            if tracker is not None:
+            for tracker in views.reported_to(service, engine):
                 counts.setdefault(tracker, {})[engine] = in_flight.get(engine, 0)
         intervals: dict[str, list[FinishedCall]] = {}
         for call in finished:
-            tracker = election.tracker(service, call.engine)
-            if tracker is not None:
+            for tracker in views.reported_to(service, call.engine):
                 intervals.setdefault(tracker, []).append(call)
         return {
             tracker: self._notice(service, calls, intervals.get(tracker, ()))
--- a/notcharch/engine_load/tracked_loads.py
+++ b/notcharch/engine_load/tracked_loads.py
@@ -20,6 +20,9 @@
 """An engine's count is complete after two refreshes; earlier ones would be too low."""
 MAX_TICK_GAP_SECONDS = 0.5
 """A longer time between two ticks is a pause, in which notices were not read in time."""
+DISMISSED_SECONDS = 2.5
+"""How long an engine's tracker keeps answering after another one was elected: the
+handover of 1.25 s, and a second by which views of the members differ."""
 MIN_FINISHED_CALLS = 3
 """With fewer calls, one call in a slow period would define an engine's speed."""
 RECENT_CALL_WEIGHT = 0.2
@@ -46,8 +49,8 @@
         self.id = id
         self.service = service
         self.since = since
-        self.is_elected = False
-        """Whether this daemon is its tracker by its own view of the members."""
+        self.elected_until = since
+        """Until when it is kept without calls; infinite while this daemon is elected."""
         self.in_flight = 0
         self.counts = 0
         """Number of daemons with an unexpired count."""
@@ -83,6 +86,9 @@
 
         After a pause, tracking starts again: the counts have missed notices.
         """
+        self._expire(now)
+        for engine in self._all():
+            self._drop_unused(engine, now)
         gap = now - self._ticked_at
         self._ticked_at = now
         if gap < MAX_TICK_GAP_SECONDS:
@@ -99,10 +105,12 @@
     def elect(self, engines: Mapping[str, str], now: float) -> None:
         """Track the engines of which this daemon is the tracker, given with services."""
         for tracked in self._all():
-            tracked.is_elected = engines.get(tracked.id) == tracked.service
-            self._drop_unused(tracked)
+            if engines.get(tracked.id) != tracked.service:
+                tracked.elected_until = min(
+                    tracked.elected_until, now + DISMISSED_SECONDS
+                )
         for id, service in engines.items():
-            self._engine(service, id, now).is_elected = True
+            self._engine(service, id, now).elected_until = math.inf
 
     def apply(self, sender: Member, notice: EngineCallsChanged, now: float) -> None:
         """Record a daemon's notice; an older one than the last does not change counts."""
@@ -174,11 +182,11 @@
             del self._counts[key]
             count.engine.in_flight -= count.calls
             count.engine.counts -= 1
-            self._drop_unused(count.engine)
+            self._drop_unused(count.engine, now)
 
-    def _drop_unused(self, engine: _TrackedEngine) -> None:
+    def _drop_unused(self, engine: _TrackedEngine, now: float) -> None:
         """Forget an engine that is neither elected nor reported."""
-        if engine.is_elected or engine.counts:
+        if engine.elected_until > now or engine.counts:
             return
         engines = self._services.get(engine.service, {})
         engines.pop(engine.id, None)
--- a/notcharch/scheduling/load_trackers.py
+++ b/notcharch/scheduling/load_trackers.py
@@ -19,6 +19,10 @@
 """A request takes 2 ms; it must not cost a short call a tenth of its time."""
 MIN_REPORTED_RUN_SECONDS = MIN_RUN_SECONDS / 2
 """Daemons that measure a slightly shorter run still report calls: counts stay whole."""
+HANDOVER_SECONDS = 1.25
+"""How long the trackers before are asked: new ones answer after 1 s, and tick each 0.25 s."""
+MAX_HANDOVER_SECONDS = 4.0
+"""Bound for a series of changes, after which the trackers before may be gone."""
 ASKED_TRACKERS = 3
 """Trackers asked for one call, if there are as many."""
 
@@ -93,6 +97,60 @@
         return elected
 
 
+class TrackerViews:
+    """The trackers by the present members, and those before while new ones learn.
+
+    A new tracker does not know the calls that already run. For a moment calls are
+    reported to both trackers of an engine, and the one before is asked.
+    """
+
+    def __init__(self) -> None:
+        """Begin without members."""
+        self.current = TrackerElection(())
+        self._previous: TrackerElection | None = None
+        self._changed_at = 0.0
+        self._handover_since = 0.0
+
+    def update(self, members: Sequence[str], now: float) -> bool:
+        """Use the present members; return whether they have changed."""
+        is_changed = members != self.current.members
+        if is_changed:
+            if self._previous is None and self.current.members:
+                self._previous = self.current
+                self._handover_since = now
+            self.current = TrackerElection(members)
+            self._changed_at = now
+        if (
+            now - self._changed_at >= HANDOVER_SECONDS
+            or now - self._handover_since >= MAX_HANDOVER_SECONDS
+        ):
+            self._previous = None
+        return is_changed
+
+    @property
+    def members(self) -> Sequence[str]:
+        """The present members."""
+        return self.current.members
+
+    @property
+    def asked(self) -> TrackerElection:
+        """The election whose trackers know the running calls."""
+        return self._previous or self.current
+
+    def known_members(self) -> set[str]:
+        """Return the present members, and those before in a handover."""
+        return {*self.current.members, *self.asked.members}
+
+    def reported_to(self, service: str, engine: str) -> tuple[str, ...]:
+        """Return the trackers to which calls at an engine are reported."""
+        tracker = self.current.tracker(service, engine)
+        if self._previous is None:
+            return () if tracker is None else (tracker,)
+        before = self._previous.tracker(service, engine)
+        elected = dict.fromkeys((tracker, before))
+        return tuple(name for name in elected if name is not None)
+
+
 def trackers_to_ask(
     candidates: Collection[str],
     cached_tracker: str | None,
--- a/tests/unit/engine_load/test_exchange.py
+++ b/tests/unit/engine_load/test_exchange.py
@@ -213,7 +213,7 @@
     """Engines come and go; the state must not grow with those that have gone."""
     world = LoadWorld()
     world.engines = {"e000": SERVICE}
-    world.run(0.3)
+    world.run(3.0)
     assert world.all_loads() == {"e000": 0}
 
 
