--- a/notcharch/engine_load/own_calls.py
+++ b/notcharch/engine_load/own_calls.py
@@ -15,8 +15,6 @@
     """By engine; without zeros."""
     changed: set[str] = set()
     """Engines whose number has changed since the last notice."""
-    refreshed: set[str] = set()
-    """Engines that the next refresh reports: those with calls since the last one."""
     finished: list[FinishedCall] = []
     """Finished calls that were not reported yet."""
 
@@ -34,7 +32,6 @@
         calls = self._services.setdefault(service, _ServiceCalls())
         calls.in_flight[engine] = calls.in_flight.get(engine, 0) + 1
         calls.changed.add(engine)
-        calls.refreshed.add(engine)
 
     def ended(self, service: str, engine: str, interval_seconds: float | None) -> None:
         """Count its end, and keep the mean interval of its events, if any."""
@@ -63,7 +60,6 @@
         calls = self._services.get(service)
         if calls is not None:
             calls.changed.clear()
-            calls.refreshed.clear()
             calls.finished.clear()
 
     def take_changes(
@@ -78,15 +74,8 @@
     def take_refresh(
         self, service: str, views: TrackerViews
     ) -> dict[str, EngineCallsChanged]:
-        """Return the notices of all engines with calls since the last refresh, by tracker.
-
-        They also report engines whose last call has ended since then, so that a lost
-        notice of the end is corrected.
-        """
-        calls = self._services[service]
-        engines = calls.refreshed | calls.in_flight.keys()
-        calls.refreshed = set(calls.in_flight)
-        return self._notices(service, engines, (), views)
+        """Return the notices of all engines with calls in flight, by tracker."""
+        return self._notices(service, self._services[service].in_flight, (), views)
 
     def _notices(
         self,
