--- /dev/null
+++ b/tests/unit/platform/test_process.py
@@ -0,0 +1,23 @@
+"""How the daemon process on the platform is put together."""
+
+import pytest
+from twisted.internet.testing import MemoryReactorClock
+
+from notcharch.calls.interface import NoLoadExchange
+from notcharch.engine_load.exchange import EngineLoadExchange
+from notcharch.engine_load.messages import AskEngineLoads
+from notcharch.platform.process import Process
+from notcharch.platform.settings import read_settings
+from notcharch.settings.mechanisms import ALL_MECHANISMS, Mechanism
+from tests.unit.platform.test_settings import TEXT
+
+
+@pytest.mark.parametrize("is_on", [True, False], ids=["on", "off"])
+def test_loads_are_exchanged_unless_switched_off(is_on):
+    """Without its mechanism, a daemon must neither send nor answer its messages."""
+    off = frozenset() if is_on else {Mechanism.SHARED_LOAD}
+    settings = read_settings(TEXT).ok_value
+    process = Process(settings, MemoryReactorClock(), None, ALL_MECHANISMS - off)
+    kind = EngineLoadExchange if is_on else NoLoadExchange
+    assert isinstance(process._loads, kind)
+    assert (AskEngineLoads in process._network._handlers._requests) == is_on
--- a/tests/unit/platform/test_tables.py
+++ b/tests/unit/platform/test_tables.py
@@ -261,3 +261,14 @@
     world.write("a", cold_remaining_ms=0)
     world.run(0.6)
     assert world.takes_calls("a")
+
+
+def test_the_services_of_listed_engines_are_known():
+    """Load trackers are elected among the daemons for each listed engine."""
+    world = World()
+    first = world.tables.engine_services
+    assert first == dict.fromkeys("abc", SERVICE)
+    world.expire("b")
+    world.run(1.5)
+    assert world.tables.engine_services == dict.fromkeys("ac", SERVICE)
+    assert world.tables.engine_services is not first
