--- a/tests/unit/engine_load/test_failures.py
+++ b/tests/unit/engine_load/test_failures.py
@@ -108,6 +108,16 @@
     offer(world, 2.0)
 
 
+def test_tracker_paused_that_answers_before_its_next_tick():
+    """After a pause, requests may be read before the tick that notices it is due."""
+    world = LoadWorld(daemons=3, engines=2)
+    (tracker,) = world.trackers()
+    world.pause(tracker)
+    assert set(world.request(tracker).loads) == set(world.engines)
+    world.run(2.0)
+    assert world.request(tracker).loads == {}
+
+
 def test_tracker_paused_briefly():
     """A pause shorter than a refresh loses nothing; tracking goes on."""
     world = LoadWorld()
