--- a/notcharch/calls/call_lifecycle.py
+++ b/notcharch/calls/call_lifecycle.py
@@ -1,11 +1,13 @@
 """The lifecycle of one call: admission, choice of an engine, runs, relay, completion."""
 
 import enum
+from collections.abc import Mapping
 
 from twisted.internet.interfaces import IDelayedCall
 
 from notcharch.calls.call_log import CallLog
 from notcharch.calls.engine_run import CLIENT_ERRORS, CallServices, EngineRun
+from notcharch.calls.engines import Selection
 from notcharch.calls.event_stream import EventFramer
 from notcharch.calls.interface import (
     MAY_HAVE_RUN,
@@ -20,6 +22,8 @@
 from notcharch.calls.reply import Reply
 from notcharch.calls.routing import affinity_key_of
 from notcharch.http.messages import ResponseHead
+from notcharch.scheduling.engine_load import EngineLoad
+from notcharch.scheduling.engine_routing import CallRouting
 
 MIN_SEND_SECONDS = 0.02
 """A call with less time before its deadline is not sent."""
@@ -136,22 +140,49 @@
         if seconds_left < MIN_SEND_SECONDS:
             self._refuse(TIMED_OUT if self._log.runs else NO_ENGINE)
             return
-        engine = self._services.pool.choose(
+        if len(self._tried) >= MAX_SENDS:
+            self._end_without_engine()
+            return
+        self._services.pool.request_loads(
+            self._service, self._cached_engine, self._loads_received
+        )
+
+    def _loads_received(self, loads: Mapping[str, EngineLoad]) -> None:
+        """Send the call to an engine, unless it ended while the loads were requested."""
+        if self._phase is not Phase.AT_ENGINE:
+            return
+        seconds_left = self._deadline - self._services.clock.seconds()
+        if seconds_left < MIN_SEND_SECONDS:
+            self._refuse(TIMED_OUT if self._log.runs else NO_ENGINE)
+            return
+        selection = self._services.pool.select(
             self._service,
-            affinity_key_of(self._route, self.call),
+            CallRouting(affinity_key_of(self._route, self.call), self._cached_engine),
             self._tried,
-            self._cached_engine,
             self.call.regions,
+            loads=loads,
+            prompt_tokens=self.call.prompt_tokens,
         )
-        if engine is None or len(self._tried) >= MAX_SENDS:
+        if selection is None:
             self._end_without_engine()
             return
+        self._log.selected(selection, len(loads))
+        self._send(selection, int(seconds_left * 1000))
+
+    def _send(self, selection: Selection, remaining_ms: int) -> None:
+        engine = selection.engine
         self._tried.add(engine.id)
         self._log.engines.append(engine.id)
         self._run = EngineRun(
-            self._services, self.call, self._route, engine, self, log=self._log
+            self._services,
+            self.call,
+            self._route,
+            engine,
+            self,
+            log=self._log,
+            prompt=selection.prompt,
         )
-        self._run.send(self._body, int(seconds_left * 1000))
+        self._run.send(self._body, remaining_ms)
 
     def _retry(self, cause: str) -> None:
         self._cause = cause
@@ -338,7 +369,8 @@
         elif self._phase is Phase.COMPLETING:
             self.not_durable()
         elif self._phase is Phase.AT_ENGINE:
-            self._refuse(TIMED_OUT)
+            may_have_run = bool(self._log.runs) or self._run is not None
+            self._refuse(TIMED_OUT if may_have_run else NO_ENGINE)
 
     def _caller_disconnected(self) -> None:
         """Cancel the run of a caller that has disconnected."""
--- a/notcharch/calls/call_log.py
+++ b/notcharch/calls/call_log.py
@@ -2,12 +2,16 @@
 
 from twisted.internet.interfaces import IReactorTime
 
+from notcharch.calls.engines import Selection
 from notcharch.calls.interface import OpaqueCall, Refusal, Route
 from notcharch.calls.metrics import (
     ADMISSION_SECONDS,
     CALLS,
+    CHOICES,
     COMPLETE_RESPONSE_SECONDS,
+    EXPECTED_SECONDS,
     FIRST_EVENT_SECONDS,
+    FULL_SENDS,
     RETRIES,
 )
 from notcharch.events.calls import (
@@ -17,6 +21,7 @@
     CallRefused,
     CallSentAgain,
     CallServed,
+    EngineChosen,
 )
 from notcharch.events.event import emit
 
@@ -56,6 +61,33 @@
         self.admission_seconds = self._seconds
         ADMISSION_SECONDS.observe(self.admission_seconds)
 
+    def selected(self, selection: Selection, loads_known: int) -> None:
+        """Log the choice of an engine by the loads of all daemons."""
+        CHOICES.labels(selection.reason.value).inc()
+        choice = selection.by_cost
+        if choice is None:
+            return
+        cost = choice.chosen
+        EXPECTED_SECONDS.observe(cost.seconds)
+        if cost.engine.is_full:
+            FULL_SENDS.inc()
+        emit(
+            EngineChosen(
+                request=self._call.id,
+                program=self._call.program,
+                engine=cost.engine.id,
+                reason=selection.reason.value,
+                loads_known=loads_known,
+                in_flight=cost.engine.in_flight,
+                slots=cost.engine.slots,
+                run_seconds=round(cost.run_seconds, 4),
+                wait_seconds=round(cost.wait_seconds, 4),
+                reading_seconds=round(cost.reading_seconds, 4),
+                distance_seconds=round(cost.distance_seconds, 4),
+                lowest_seconds=round(choice.lowest_seconds, 4),
+            )
+        )
+
     def events_relayed(self, events: int) -> None:
         """Record the number of events relayed so far."""
         if not self.events:
--- a/notcharch/calls/engine_run.py
+++ b/notcharch/calls/engine_run.py
@@ -7,7 +7,7 @@
 
 from notcharch.calls.call_log import CallLog
 from notcharch.calls.engine_sender import EngineRequest, EngineSender
-from notcharch.calls.engines import EnginePool
+from notcharch.calls.engines import EnginePool, PromptSample
 from notcharch.calls.interface import (
     Admission,
     Engine,
@@ -21,6 +21,8 @@
 from notcharch.scheduling.first_response_times import RouteResponseTimes
 
 CLIENT_ERRORS = 400
+MIN_INTERVAL_EVENTS = 2
+"""With fewer events there is no interval between two of them."""
 OVERDUE = "the first response was overdue"
 
 
@@ -75,19 +77,25 @@
         listener: RunListener,
         *,
         log: CallLog,
+        prompt: PromptSample | None = None,
     ) -> None:
-        """Prepare a run, which `send` starts."""
+        """Prepare a run, which `send` starts.
+
+        `prompt` is set if the time to the first event shows how prompts are read.
+        """
         self._services = services
         self._call = call
         self._route = route
         self.engine = engine
         self._listener = listener
         self._log = log
+        self._prompt = prompt
         self._request: EngineRequest | None = None
         self._head: ResponseHead | None = None
         self._chunks: list[bytes] = []
         self._is_relaying = False
         """True if the events are relayed to the caller."""
+        self._first_event_at: float | None = None
         self._last_event_at: float | None = None
         """Clock seconds at which the last event was received."""
         self._sent_at = 0.0
@@ -114,7 +122,14 @@
 
     def _finish(self) -> None:
         self._overdue.stop()
-        self._services.pool.call_ended(self.engine.id)
+        self._services.pool.call_ended(self.engine.id, self._mean_event_interval())
+
+    def _mean_event_interval(self) -> float | None:
+        """Return the mean seconds between two events; None if there were fewer."""
+        first, last = self._first_event_at, self._last_event_at
+        if first is None or last is None or self._events < MIN_INTERVAL_EVENTS:
+            return None
+        return (last - first) / (self._events - 1)
 
     def _engine_failed(self) -> None:
         """Report a failure; if the engine is silent, close its idle connections too."""
@@ -176,8 +191,9 @@
         self._events += 1
         if self._last_event_at is None:
             self._overdue.first_response_received()
+            self._first_event_at = now
             self._services.pool.first_event_received(
-                self.engine.id, now - self._sent_at
+                self.engine.id, now - self._sent_at, self._prompt
             )
         gap = None if self._last_event_at is None else now - self._last_event_at
         self._last_event_at = now
@@ -196,6 +212,9 @@
             return
         if self._is_relaying:
             self._services.pool.stream_completed(self.engine.id, self._events)
+        if head.status < CLIENT_ERRORS:
+            seconds = self._services.clock.seconds() - self._sent_at
+            self._services.pool.run_completed(self.engine.id, seconds)
         self._finish()
         self._listener.run_completed(head, b"".join(self._chunks))
 
--- a/notcharch/calls/engines.py
+++ b/notcharch/calls/engines.py
@@ -1,25 +1,35 @@
 """The pool of engines: their entries, their health, and the choice among them."""
 
-from collections.abc import Collection, Iterable, Sequence
+from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
 from random import Random
 
 import msgspec
 from twisted.internet.interfaces import IReactorTime
 
 from notcharch.calls.eligibility import EngineEligibility, NoEngine
-from notcharch.calls.interface import Engine
+from notcharch.calls.interface import Engine, LoadExchange
 from notcharch.calls.metrics import COLD_ENGINES, COLD_SENDS
+from notcharch.calls.reported_calls import ReportedCalls
 from notcharch.scheduling.cold_engines import WarmupState
 from notcharch.scheduling.engine_health import (
     EngineHealth,
     HealthPolicy,
     ServiceHealth,
 )
+from notcharch.scheduling.engine_load import EngineLoad
 from notcharch.scheduling.engine_routing import (
     CallRouting,
     EngineRouting,
     RoutingPolicy,
 )
+from notcharch.scheduling.expected_seconds import (
+    CallNeeds,
+    ChoiceReason,
+    CostChoice,
+    LoadedEngine,
+    choose_by_cost,
+)
+from notcharch.scheduling.learned_values import ASSUMED_EVENTS, ServiceLearning
 from notcharch.scheduling.nearness import Nearness
 from notcharch.scheduling.shared_suspicions import (
     LOCAL_RESPONSE_SECONDS,
@@ -42,6 +52,8 @@
     last_resort_seconds: float = LAST_RESORT_SECONDS
     entry_seconds: float = 0.0
     """Maximum age of an engine's entry when it is first read."""
+    chooses_by_load: bool = True
+    """Choose by the calls of all daemons where they are known."""
     routing: RoutingPolicy = RoutingPolicy()
     health: HealthPolicy = HealthPolicy()
 
@@ -80,6 +92,25 @@
         return self.health.run_seconds
 
 
+class PromptSample(msgspec.Struct, frozen=True):
+    """A call that met a free slot: its first event shows how prompts are read."""
+
+    tokens: int
+    is_cached: bool
+    """Whether the engine caches the prefix, and reads no prompt."""
+
+
+class Selection(msgspec.Struct, frozen=True):
+    """The engine for a call, and why it was chosen."""
+
+    engine: Engine
+    reason: ChoiceReason
+    by_cost: CostChoice | None = None
+    """The expected seconds, where the loads of the engines are known."""
+    prompt: PromptSample | None = None
+    """Set if the call's first event shows how prompts are read."""
+
+
 class EnginePool:
     """The engines of all services, with this daemon's calls to each."""
 
@@ -106,6 +137,25 @@
         self._states: dict[str, EngineState] = {}
         self._by_service: dict[str, list[EngineState]] = {}
         self._services: dict[str, ServiceHealth] = {}
+        self._learning: dict[str, ServiceLearning] = {}
+        self._random = random
+        self._reported = ReportedCalls()
+
+    def use_exchange(self, exchange: LoadExchange) -> None:
+        """Exchange the loads of engines with other daemons from now on."""
+        self._reported.exchange = exchange
+
+    def request_loads(
+        self,
+        service: str,
+        cached_engine: str,
+        then: Callable[[Mapping[str, EngineLoad]], None],
+    ) -> None:
+        """Request the loads of a service's engines; `then` is called exactly once."""
+        if not self._policy.chooses_by_load:
+            then({})
+            return
+        self._reported.exchange.request(service, cached_engine, then)
 
     # Entries
 
@@ -185,6 +235,28 @@
         state = self._states.get(engine_id)
         return state is None or self.eligibility.takes_calls(state.engine)
 
+    # Figures of a service
+
+    def total_slots(self, service: str) -> int:
+        """Return the slots of the engines that are listed and not draining."""
+        return sum(
+            state.slots
+            for state in self._by_service.get(service, [])
+            if state.last_resort_since is None
+            and self.eligibility.takes_calls(state.engine)
+        )
+
+    def mean_run_seconds(self, service: str) -> float | None:
+        """Return the mean seconds from sending a call to its end; None if unknown."""
+        learned = self._learning.get(service)
+        return None if learned is None else learned.mean_run_seconds
+
+    def _learned(self, service: str) -> ServiceLearning:
+        known = self._learning.get(service)
+        if known is None:
+            known = self._learning[service] = ServiceLearning()
+        return known
+
     # Choice
 
     def choose(
@@ -194,13 +266,91 @@
         tried: Collection[str],
         cached_engine: str = "",
         regions: frozenset[str] | None = None,
+        *,
+        loads: Mapping[str, EngineLoad] | None = None,
+        prompt_tokens: int = 0,
     ) -> Engine | None:
-        """Return the engine for a call, or None if no untried one accepts it.
-
-        Calls with the same `affinity_key` share a prefix that an engine may cache;
-        `cached_engine` has the prefix in its cache, if that is known; `regions` are those
-        in which the call may be served, or None for all.
+        """Return the engine for a call, as `select` does."""
+        selection = self.select(
+            service,
+            CallRouting(affinity_key, cached_engine),
+            tried,
+            regions,
+            loads=loads or {},
+            prompt_tokens=prompt_tokens,
+        )
+        return None if selection is None else selection.engine
+
+    def select(
+        self,
+        service: str,
+        call: CallRouting,
+        tried: Collection[str],
+        regions: frozenset[str] | None = None,
+        *,
+        loads: Mapping[str, EngineLoad],
+        prompt_tokens: int = 0,
+    ) -> Selection | None:
+        """Select the engine for a call; None if no untried one accepts it.
+
+        `regions` are those in which the call may be served, or None for all. `loads` are
+        the calls of all daemons by engine; where none is known, this daemon's own calls
+        decide. An engine whose load is unknown is selected only if it caches the prefix.
         """
+        options = self._options(service, tried, regions)
+        if not options:
+            return None
+        loaded = self._loaded_engines(options, loads)
+        cached_engine = call.cached_engine
+        is_load_known = any(engine.id == cached_engine for engine in loaded)
+        keeps_unknown = not is_load_known and self._routing.keeps_cached_engine(
+            options, call
+        )
+        if not loaded or keeps_unknown:
+            engine = self._routing.choose(options, call).engine
+            return Selection(engine, ChoiceReason.OWN_COUNTS)
+        needs = self._needs(service, cached_engine, prompt_tokens)
+        choice = choose_by_cost(loaded, needs, self._random)
+        chosen = choice.chosen.engine
+        sample = PromptSample(prompt_tokens, chosen.id == cached_engine)
+        return Selection(
+            self._states[chosen.id].engine,
+            choice.reason,
+            choice,
+            prompt=None if chosen.is_full else sample,
+        )
+
+    def _loaded_engines(
+        self, options: Sequence[EngineState], loads: Mapping[str, EngineLoad]
+    ) -> list[LoadedEngine]:
+        """Return the engines of known load; a daemon's own calls are a lower bound."""
+        return [
+            LoadedEngine(
+                state.id,
+                state.slots,
+                max(loads[state.id].in_flight, state.in_flight),
+                loads[state.id].event_interval_seconds,
+                self._routing.distance(state),
+            )
+            for state in options
+            if state.id in loads
+        ]
+
+    def _needs(self, service: str, cached_engine: str, prompt_tokens: int) -> CallNeeds:
+        learned = self._learned(service)
+        prefers_cached = self._policy.routing.prefers_cached_engine
+        return CallNeeds(
+            cached_engine if prefers_cached else "",
+            prompt_tokens,
+            learned.reading.seconds_per_token,
+            self._service(service).mean_events or ASSUMED_EVENTS,
+            learned.usual_run_seconds,
+        )
+
+    def _options(
+        self, service: str, tried: Collection[str], regions: frozenset[str] | None
+    ) -> Sequence[EngineState]:
+        """Return the engines that a call may be sent to now."""
         now = self._clock.seconds()
         untried = [
             state
@@ -209,17 +359,14 @@
         ]
         states = self.eligibility.accepting(service, untried, now)
         if not states:
-            return None
+            return []
         slow_event_seconds = self._service(service).slow_interval_seconds(now)
         healthy = [
             state
             for state in states
             if not state.health.is_suspect(now, slow_event_seconds)
         ]
-        options = self._without_suspected(healthy or states, now)
-        return self._routing.choose(
-            options, CallRouting(affinity_key, cached_engine)
-        ).engine
+        return self._without_suspected(healthy or states, now)
 
     def why_none(self, service: str, regions: frozenset[str] | None = None) -> NoEngine:
         """Return why no engine of a service is available, and for how long."""
@@ -269,9 +416,13 @@
             self.eligibility.sent(state.engine, now)
             if state.warmth.is_cold(now):
                 COLD_SENDS.inc()
+            self._reported.started(state.engine)
 
-    def call_ended(self, engine_id: str) -> None:
-        """Count a call that has ended."""
+    def call_ended(
+        self, engine_id: str, event_interval_seconds: float | None = None
+    ) -> None:
+        """Count a call that has ended, with the mean interval of its events."""
+        self._reported.ended(engine_id, event_interval_seconds)
         state = self._states.get(engine_id)
         if state is not None and state.in_flight > 0:
             state.in_flight -= 1
@@ -289,11 +440,27 @@
         if event_gap_seconds is not None:
             state.health.record_event_interval(event_gap_seconds, now)
 
-    def first_event_received(self, engine_id: str, seconds: float) -> None:
+    def first_event_received(
+        self, engine_id: str, seconds: float, prompt: PromptSample | None = None
+    ) -> None:
         """Record the time from sending a call to its first event."""
         state = self._states.get(engine_id)
+        if state is None:
+            return
+        state.health.record_first_event(seconds)
+        if prompt is None:
+            return
+        reading = self._learned(state.engine.service).reading
+        if prompt.is_cached:
+            reading.record_cached(seconds)
+        else:
+            reading.record_uncached(seconds, prompt.tokens)
+
+    def run_completed(self, engine_id: str, seconds: float) -> None:
+        """Record the time from sending a call to the end of its successful response."""
+        state = self._states.get(engine_id)
         if state is not None:
-            state.health.record_first_event(seconds)
+            self._learned(state.engine.service).record_run(seconds)
 
     def stream_completed(self, engine_id: str, events: int) -> None:
         """Record the number of events of a complete stream."""
--- a/notcharch/calls/interface.py
+++ b/notcharch/calls/interface.py
@@ -95,6 +95,8 @@
     program_remaining_seconds: float | None = None
     tenant: Tenant | None = None
     """The tenant of the call's key; None if no key is needed."""
+    prompt_tokens: int = 0
+    """Number of prompt tokens that the caller states; 0 if it states none."""
 
     regions: frozenset[str] | None = None
     """Regions in which it may be served and stored; None means all.
--- a/notcharch/calls/metrics.py
+++ b/notcharch/calls/metrics.py
@@ -27,3 +27,12 @@
 )
 COLD_ENGINES = Gauge("notcharch_cold_engines", "Listed engines that may be cold")
 COLD_SENDS = Counter("notcharch_cold_sends", "Calls sent to engines that may be cold")
+CHOICES = Counter("notcharch_engine_choices", "Engines chosen, by reason", ["reason"])
+EXPECTED_SECONDS = Histogram(
+    "notcharch_engine_expected_seconds",
+    "Expected seconds of a call at its engine, where the load of all daemons is known",
+    buckets=LATENCY_SECONDS,
+)
+FULL_SENDS = Counter(
+    "notcharch_full_engine_sends", "Calls sent to an engine known to have no free slot"
+)
--- a/notcharch/calls/policies.py
+++ b/notcharch/calls/policies.py
@@ -28,6 +28,7 @@
     return PoolPolicy(
         last_resort_seconds=window_seconds if has_last_resort else 0.0,
         entry_seconds=entry_seconds,
+        chooses_by_load=Mechanism.SHARED_LOAD in mechanisms,
         routing=RoutingPolicy(
             prefers_cached_engine=Mechanism.KEPT_HOMES in mechanisms,
             hashes_affinity=Mechanism.HASHED_HOMES in mechanisms,
--- a/notcharch/events/calls.py
+++ b/notcharch/events/calls.py
@@ -133,3 +133,25 @@
     """After so long it counted as overdue."""
     is_given_up: bool
     """Whether the run was given up, not only the engine passed over."""
+
+
+class EngineChosen(Event, frozen=True):
+    """An engine was chosen by the loads of all daemons: its expected seconds, by cause."""
+
+    number: ClassVar[int] = 2209
+    is_routine: ClassVar[bool] = True
+    request: str
+    program: str
+    engine: str
+    reason: str
+    """cached, cheaper, or overflow: the preferred engines are full."""
+    loads_known: int
+    """Number of engines whose load is known."""
+    in_flight: int
+    slots: int
+    run_seconds: float
+    wait_seconds: float
+    reading_seconds: float
+    distance_seconds: float
+    lowest_seconds: float
+    """Expected seconds at the best engine."""
--- a/notcharch/explain/explanation.py
+++ b/notcharch/explain/explanation.py
@@ -20,6 +20,7 @@
     CallRefused,
     CallSentAgain,
     CallServed,
+    EngineChosen,
     RequestMalformed,
     RequestWithoutRoute,
 )
@@ -155,6 +156,27 @@
         f"served by {end.text('engine')} with {end.text('status')} "
         f"after {end.text('seconds')} s, {end.text('admission_seconds')} s of them "
         "before its admission"
+        f"{_choice(end.text('engine'), own)}"
+    )
+
+
+def _choice(engine: str, own: Sequence[LogLine]) -> str:
+    """Say why the engine that served a call was chosen."""
+    chosen = [
+        line
+        for line in own
+        if line.number == EngineChosen.number and line.text("engine") == engine
+    ]
+    if not chosen:
+        return ""
+    line = chosen[-1]
+    return (
+        f"; the engine was chosen as {line.text('reason')} with "
+        f"{line.text('in_flight')} calls at {line.text('slots')} slots: "
+        f"{line.text('run_seconds')} s for its run, {line.text('wait_seconds')} s for a "
+        f"slot, {line.text('reading_seconds')} s to read the prompt, "
+        f"{line.text('distance_seconds')} s for the distance expected, and "
+        f"{line.text('lowest_seconds')} s in all at the best engine"
     )
 
 
--- a/notcharch/platform/headers.py
+++ b/notcharch/platform/headers.py
@@ -27,6 +27,8 @@
 TENANT = b"x-notcharch-tenant"
 
 MISDIRECTED = 421
+MAX_PROMPT_DIGITS = 9
+"""A stated number of prompt tokens with more digits is ignored."""
 RESERVED_HEADERS = (
     DEADLINE,
     EXPECT_INSTANCE,
@@ -76,6 +78,7 @@
             session=_parse_name(values.get(SESSION, b"")),
             affinity=_affinity_key(values.get(b"cookie", b"").decode("latin-1")),
             max_tokens=_max_tokens(values.get(USAGE)),
+            prompt_tokens=_prompt_tokens(values.get(USAGE)),
             budget_tokens=_parse_integer(values.get(TOKEN_BUDGET)),
             previous_turn=_parse_name(values.get(PREVIOUS_TURN, b"")),
             last_event_id=values.get(LAST_EVENT_ID),
@@ -122,6 +125,16 @@
     return int(usage.split(b",")[1]) if usage else 0
 
 
+def _prompt_tokens(usage: bytes | None) -> int:
+    """Return the stated prompt tokens; 0 if they are missing or unreadable.
+
+    They only help to choose an engine, so a call isn't refused for them.
+    """
+    digits = usage.split(b",")[0].strip() if usage else b""
+    is_number = digits.isdigit() and len(digits) <= MAX_PROMPT_DIGITS
+    return int(digits) if is_number else 0
+
+
 def _affinity_key(cookies: str) -> str:
     for cookie in cookies.split(";"):
         name, _, value = cookie.strip().partition("=")
--- a/notcharch/platform/process.py
+++ b/notcharch/platform/process.py
@@ -23,7 +23,7 @@
 from notcharch.calls.engine_sender import EngineSender
 from notcharch.calls.engines import EnginePool
 from notcharch.calls.policies import cold_policy, pool_policy, wait_policy
-from notcharch.events.calls import CallerNotIdentified, CallServed
+from notcharch.events.calls import CallerNotIdentified, CallServed, EngineChosen
 from notcharch.events.event import emit
 from notcharch.events.output import LogOutput
 from notcharch.events.pause_watch import PauseWatch
@@ -180,7 +180,7 @@
             drained=lambda: self._tables.drained_zones,
             apply_drained=self._tables.apply_peer_drained_zones,
         )
-        routine = (CallServed, CallerNotIdentified, LimitReached)
+        routine = (CallServed, CallerNotIdentified, EngineChosen, LimitReached)
         self._output = LogOutput(
             STANDARD_OUTPUT,
             reactor,
--- a/notcharch/scheduling/engine_routing.py
+++ b/notcharch/scheduling/engine_routing.py
@@ -108,6 +108,13 @@
             return self._affine_engine(options, call.affinity_key, min_load)
         return self._lowest_load(options)
 
+    def keeps_cached_engine(self, options: Sequence[Option], call: CallRouting) -> bool:
+        """Return whether the cached engine is among the options, and kept by its load."""
+        if not options:
+            return False
+        min_load = min(option.in_flight / option.slots for option in options)
+        return self._cached_engine(options, call, min_load) is not None
+
     def _cached_engine(
         self, options: Sequence[Option], call: CallRouting, min_load: float
     ) -> Option | None:
@@ -137,29 +144,30 @@
             key=lambda option: xxhash.xxh64_intdigest(f"{option.id}|{key}".encode()),
         )
 
-    def _distance(self, option: RoutingOption) -> Distance:
+    def distance(self, option: RoutingOption) -> Distance:
+        """Return the distance of an engine, as far as the policy regards it."""
         if not self._policy.prefers_zone:
             return Distance.SAME_ZONE
         return self._nearness.distance(option.zone)
 
     def _nearest(self, options: Sequence[Option]) -> Sequence[Option]:
         """Return the engines of the local zone, else of the local region, else all."""
-        nearest = min(self._distance(option) for option in options)
-        return [option for option in options if self._distance(option) is nearest]
+        nearest = min(self.distance(option) for option in options)
+        return [option for option in options if self.distance(option) is nearest]
 
     def _lowest_load(self, options: Sequence[Option]) -> Option:
         return min(
             options,
             key=lambda option: (
                 self._load(option),
-                self._distance(option),
+                self.distance(option),
                 self._random.random(),
             ),
         )
 
     def _load(self, option: RoutingOption) -> float:
         """Return the load by local calls, increased for engines of other regions."""
-        is_far = self._distance(option) is Distance.OTHER_REGION
+        is_far = self.distance(option) is Distance.OTHER_REGION
         return option.in_flight / option.slots + is_far * OTHER_REGION_PENALTY
 
 
