--- a/notcharch/calls/call_lifecycle.py
+++ b/notcharch/calls/call_lifecycle.py
@@ -122,6 +122,8 @@
         self._body = body
         self._phase = Phase.AT_ENGINE
         self._log.admitted()
+        if self._services.urgency is not None:
+            self._services.urgency.admitted(self.call, self._route, self._cached_engine)
         self._dispatch()
 
     def refused(self, refusal: Refusal) -> None:
@@ -166,9 +168,25 @@
         if selection is None:
             self._end_without_engine()
             return
+        self._rate_urgency()
         self._log.selected(selection, len(loads))
         self._send(selection, int(seconds_left * 1000))
 
+    def _rate_urgency(self) -> None:
+        """Set the urgency where the loads of the service's engines are shared."""
+        urgency, pool = self._services.urgency, self._services.pool
+        if urgency is None or not pool.shares_load(self._service):
+            return
+        self.call.urgency = urgency.level(
+            self.call, self._route, self._cached_engine, self._services.clock.seconds()
+        )
+
+    def _learn_duration(self) -> None:
+        """Record the duration of a call that was served successfully."""
+        if self._services.urgency is not None:
+            seconds = self._services.clock.seconds() - self.call.arrived
+            self._services.urgency.served(self._route, seconds)
+
     def _send(self, selection: Selection, remaining_ms: int) -> None:
         engine = selection.engine
         self._tried.add(engine.id)
@@ -314,6 +332,7 @@
             self._reply.write(remainder)
         self._end()
         self._log.served(self._status)
+        self._learn_duration()
         self._reply.finish()
 
     def not_durable(self) -> None:
@@ -326,6 +345,8 @@
             self._ticket.interrupted(0)
         self._end()
         self._log.served(head.status)
+        if head.status < CLIENT_ERRORS:
+            self._learn_duration()
         self._reply.send_response(head, body)
 
     def _refuse(self, refusal: Refusal) -> None:
--- a/notcharch/calls/call_log.py
+++ b/notcharch/calls/call_log.py
@@ -13,6 +13,7 @@
     FIRST_EVENT_SECONDS,
     FULL_SENDS,
     RETRIES,
+    URGENCIES,
 )
 from notcharch.events.calls import (
     AnswerOverdue,
@@ -64,6 +65,8 @@
     def selected(self, selection: Selection, loads_known: int) -> None:
         """Log the choice of an engine by the loads of all daemons."""
         CHOICES.labels(selection.reason.value).inc()
+        if self._call.urgency is not None:
+            URGENCIES.labels(str(self._call.urgency)).inc()
         choice = selection.by_cost
         if choice is None:
             return
@@ -85,6 +88,7 @@
                 reading_seconds=round(cost.reading_seconds, 4),
                 distance_seconds=round(cost.distance_seconds, 4),
                 lowest_seconds=round(choice.lowest_seconds, 4),
+                urgency=self._call.urgency,
             )
         )
 
--- a/notcharch/calls/engine_run.py
+++ b/notcharch/calls/engine_run.py
@@ -6,6 +6,7 @@
 from twisted.internet.interfaces import IReactorTime
 
 from notcharch.calls.call_log import CallLog
+from notcharch.calls.call_urgency import CallUrgency
 from notcharch.calls.engine_sender import EngineRequest, EngineSender
 from notcharch.calls.engines import EnginePool, PromptSample
 from notcharch.calls.interface import (
@@ -35,6 +36,8 @@
     dialect: EngineDialect
     admission: Admission
     waits: RouteResponseTimes
+    urgency: CallUrgency | None = None
+    """Rates the urgency of calls; None if engines are not told of it."""
 
 
 class RunListener(Protocol):
--- a/notcharch/calls/engines.py
+++ b/notcharch/calls/engines.py
@@ -45,6 +45,10 @@
 missing from the list until their next heartbeat.
 """
 
+LOADS_RECENT_SECONDS = 2.0
+"""The load of a service counts as shared for this time after loads were received: longer
+than the 1 s for which trackers that did not answer are not asked."""
+
 
 class PoolPolicy(msgspec.Struct, frozen=True):
     """Policy for the choice of an engine."""
@@ -140,6 +144,8 @@
         self._learning: dict[str, ServiceLearning] = {}
         self._random = random
         self._reported = ReportedCalls()
+        self._loads_at: dict[str, float] = {}
+        """Clock seconds at which loads of a service were last used."""
 
     def use_exchange(self, exchange: LoadExchange) -> None:
         """Exchange the loads of engines with other daemons from now on."""
@@ -297,6 +303,8 @@
         the calls of all daemons by engine; where none is known, this daemon's own calls
         decide. An engine whose load is unknown is selected only if it caches the prefix.
         """
+        if loads:
+            self._loads_at[service] = self._clock.seconds()
         options = self._options(service, tried, regions)
         if not options:
             return None
@@ -320,6 +328,12 @@
             prompt=None if chosen.is_full else sample,
         )
 
+    def shares_load(self, service: str) -> bool:
+        """Return whether loads of a service were known recently."""
+        used_at = self._loads_at.get(service)
+        now = self._clock.seconds()
+        return used_at is not None and now - used_at < LOADS_RECENT_SECONDS
+
     def _loaded_engines(
         self, options: Sequence[EngineState], loads: Mapping[str, EngineLoad]
     ) -> list[LoadedEngine]:
--- a/notcharch/calls/interface.py
+++ b/notcharch/calls/interface.py
@@ -8,6 +8,7 @@
 from notcharch.http.messages import RequestHead, ResponseHead
 from notcharch.scheduling.cold_engines import ColdLimit
 from notcharch.scheduling.engine_load import EngineLoad
+from notcharch.scheduling.urgency import PriorityRank
 from notcharch.tenants.interface import Tenant
 
 
@@ -97,6 +98,10 @@
     """The tenant of the call's key; None if no key is needed."""
     prompt_tokens: int = 0
     """Number of prompt tokens that the caller states; 0 if it states none."""
+    priority: PriorityRank = PriorityRank()
+    """The rank of its route's priority among the routes of the same service."""
+    urgency: int | None = None
+    """Its level among the calls that wait at an engine, 0 first; None for no level."""
 
     regions: frozenset[str] | None = None
     """Regions in which it may be served and stored; None means all.
--- a/notcharch/calls/policies.py
+++ b/notcharch/calls/policies.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Collection
 
+from notcharch.calls.call_urgency import CallUrgency
 from notcharch.calls.engines import PoolPolicy
 from notcharch.scheduling.cold_engines import ColdPolicy, ColdTolerance
 from notcharch.scheduling.engine_health import HealthPolicy
@@ -42,6 +43,12 @@
     )
 
 
+def call_urgency(mechanisms: Collection[Mechanism]) -> CallUrgency | None:
+    """Return what rates the urgency of calls, unless engines are not told of it."""
+    needed = {Mechanism.SHARED_LOAD, Mechanism.CALL_URGENCY}
+    return CallUrgency() if needed <= set(mechanisms) else None
+
+
 def wait_policy(mechanisms: Collection[Mechanism]) -> OverduePolicy:
     """Return the policy for overdue responses."""
     return OverduePolicy(detects_overdue=Mechanism.OVERDUE in mechanisms)
--- a/notcharch/calls/routing.py
+++ b/notcharch/calls/routing.py
@@ -5,6 +5,7 @@
 
 from notcharch.calls.interface import OpaqueCall, Route, Service
 from notcharch.http.server import ServerLimits
+from notcharch.scheduling.urgency import PriorityRank
 from notcharch.tenants.keys import TenantKeys
 
 HASH_RANGE = float(1 << 64)
@@ -35,8 +36,23 @@
         """Index the routes by host and path prefix."""
         self.table = table
         self._by_host: dict[str, dict[str, Route]] = {}
+        self._priorities: dict[str, list[int]] = {}
+        """The different priorities of the routes to a service, in ascending order."""
         for route in table.routes:
             self._by_host.setdefault(route.host.lower(), {})[route.path_prefix] = route
+            for share in route.shares:
+                self._add_priority(share.service, route.priority)
+
+    def _add_priority(self, service: str, priority: int) -> None:
+        known = self._priorities.setdefault(service, [])
+        if priority not in known:
+            known.append(priority)
+            known.sort()
+
+    def priority_rank(self, route: Route, service: str) -> PriorityRank:
+        """Return the rank of a route's priority among the routes of a service."""
+        known = self._priorities.get(service, [route.priority])
+        return PriorityRank(known.index(route.priority), len(known))
 
     def find(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix of the path, if any."""
--- a/notcharch/events/calls.py
+++ b/notcharch/events/calls.py
@@ -155,3 +155,5 @@
     distance_seconds: float
     lowest_seconds: float
     """Expected seconds at the best engine."""
+    urgency: int | None = None
+    """The level that the engine was told: 0 is first, 9 is last."""
--- a/notcharch/explain/explanation.py
+++ b/notcharch/explain/explanation.py
@@ -177,9 +177,16 @@
         f"slot, {line.text('reading_seconds')} s to read the prompt, "
         f"{line.text('distance_seconds')} s for the distance expected, and "
         f"{line.text('lowest_seconds')} s in all at the best engine"
+        f"{_urgency(line)}"
     )
 
 
+def _urgency(line: LogLine) -> str:
+    """Say how urgent the engine was told that a call is."""
+    level = line.fields.get("urgency")
+    return "" if level is None else f"; its urgency was {level} (0 first, 9 last)"
+
+
 def _without_route(
     end: LogLine, own: Sequence[LogLine], context: Sequence[LogLine]
 ) -> str:
--- a/notcharch/platform/headers.py
+++ b/notcharch/platform/headers.py
@@ -155,6 +155,8 @@
         headers.append((b"X-Notcharch-Expect-Instance", engine.id.encode()))
         if call.last_event_id is not None:
             headers.append((b"Last-Event-Id", call.last_event_id))
+        if call.urgency is not None:
+            headers.append((b"X-Notcharch-Request-Urgency", b"%d" % call.urgency))
         if call.tenant is not None:
             headers.append((b"X-Notcharch-Tenant", call.tenant.name.encode()))
         return RequestHead(call.head.method, call.head.target, headers)
--- a/notcharch/platform/ingress.py
+++ b/notcharch/platform/ingress.py
@@ -145,6 +145,7 @@
             route.regions, call.tenant.regions if call.tenant is not None else ANYWHERE
         )
         service = service_of(route, call)
+        call.priority = router.priority_rank(route, service)
         service_settings = router.table.services.get(service)
         if service_settings is not None:
             call.tokens_per_event = service_settings.tokens_per_event
--- a/notcharch/platform/process.py
+++ b/notcharch/platform/process.py
@@ -22,7 +22,7 @@
 from notcharch.calls.engine_run import CallServices
 from notcharch.calls.engine_sender import EngineSender
 from notcharch.calls.engines import EnginePool
-from notcharch.calls.policies import cold_policy, pool_policy, wait_policy
+from notcharch.calls.policies import call_urgency, cold_policy, pool_policy, wait_policy
 from notcharch.events.calls import CallerNotIdentified, CallServed, EngineChosen
 from notcharch.events.event import emit
 from notcharch.events.output import LogOutput
@@ -150,6 +150,7 @@
                 dialect=PlatformDialect(),
                 admission=self._accounts.admission,
                 waits=RouteResponseTimes(wait_policy(mechanisms)),
+                urgency=call_urgency(mechanisms),
             ),
             self._check,
         )
--- a/notcharch/scheduling/learned_values.py
+++ b/notcharch/scheduling/learned_values.py
@@ -24,17 +24,28 @@
 class LearnedMean:
     """A running mean with a bounded weight of the newest sample."""
 
-    def __init__(self, assumed: float) -> None:
-        """`assumed` is its value before the first sample."""
+    def __init__(
+        self,
+        assumed: float,
+        weight: float = LEARNING_WEIGHT,
+        *,
+        replaces_assumed: bool = True,
+    ) -> None:
+        """`assumed` is its value before the first sample.
+
+        The first sample replaces it, or else weighs as much as each later one.
+        """
         self.value = assumed
         self.has_samples = False
+        self._weight = weight
+        self._replaces_assumed = replaces_assumed
 
     def record(self, sample: float) -> None:
-        """Add one sample; the first replaces the assumption."""
-        if not self.has_samples:
+        """Add one sample."""
+        if self._replaces_assumed and not self.has_samples:
             self.value = sample
-            self.has_samples = True
-        self.value += LEARNING_WEIGHT * (sample - self.value)
+        self.has_samples = True
+        self.value += self._weight * (sample - self.value)
 
 
 class PromptReadingTime:
@@ -47,8 +58,7 @@
     def __init__(self) -> None:
         """Start with the assumed values."""
         self._first_event = LearnedMean(ASSUMED_FIRST_EVENT_SECONDS)
-        self._per_token = LearnedMean(ASSUMED_SECONDS_PER_TOKEN)
-        self._per_token.has_samples = True
+        self._per_token = LearnedMean(ASSUMED_SECONDS_PER_TOKEN, replaces_assumed=False)
 
     @property
     def seconds_per_token(self) -> float:
--- a/tests/unit/calls/test_shared_load.py
+++ b/tests/unit/calls/test_shared_load.py
@@ -5,10 +5,13 @@
 import pytest
 from twisted.internet.task import Clock
 
+from notcharch.calls.call_urgency import CallUrgency
 from notcharch.calls.engines import EnginePool, PoolPolicy, PromptSample
-from notcharch.calls.interface import NO_ENGINE, TIMED_OUT
-from notcharch.calls.policies import pool_policy
+from notcharch.calls.interface import NO_ENGINE, TIMED_OUT, ServiceShare
+from notcharch.calls.policies import call_urgency, pool_policy
+from notcharch.calls.routing import Router, RouteTable
 from notcharch.events.calls import EngineChosen
+from notcharch.http.server import ServerLimits
 from notcharch.scheduling.engine_load import EngineLoad
 from notcharch.scheduling.engine_routing import CallRouting
 from notcharch.scheduling.expected_seconds import ChoiceReason
@@ -305,3 +308,85 @@
     scene.exchange.answer(a=0, b=0, c=0)
     assert scene.world.reply.refusal.status == 503
     assert (scene.world.sent, scene.outcomes) == ([], ["never ran"])
+
+
+# Urgency
+
+
+def test_a_call_is_rated_where_loads_are_known():
+    scene = Scene(urgency=CallUrgency())
+    with captured() as messages:
+        scene.exchange.answer(a=0, b=9, c=9)
+    assert scene.world.call.urgency == 5
+    assert of(messages, EngineChosen)[0]["urgency"] == 5
+
+
+def test_a_call_is_not_rated_without_loads():
+    scene = Scene(urgency=CallUrgency())
+    scene.exchange.answer()
+    assert (len(scene.world.sent), scene.world.call.urgency) == (1, None)
+
+
+def test_a_call_is_rated_while_the_loads_were_known_recently():
+    """Guards against calls that lose their urgency because trackers answer late."""
+    made = pool("a")
+    assert not made.shares_load(SERVICE)
+    select(made, a=0)
+    made._clock.advance(1.9)
+    assert made.shares_load(SERVICE)
+    made._clock.advance(0.2)
+    assert not made.shares_load(SERVICE)
+
+
+def test_what_is_usual_is_learned_from_admitted_and_served_calls():
+    urgency = CallUrgency()
+    scene = Scene(urgency=urgency)
+    scene.exchange.answer(a=0, b=9, c=9)
+    scene.world.clock.advance(0.3)
+    scene.world.sent[0].respond(200, b"done")
+    usual = urgency._progress(scene.world.route).usual
+    assert usual.call_seconds == usual.quick_call_seconds == pytest.approx(0.3)
+    assert usual.calls > 8.0
+
+
+def test_an_unchecked_turn_does_not_make_a_program_count_as_under_way():
+    """Guards against callers that state an earlier turn on routes that store none."""
+    urgency = CallUrgency()
+    world = World()
+    world.call.previous_turn = "t"
+    now = world.clock.seconds()
+    assert urgency.level(world.call, world.route, "", now) == 6
+    stored = World(stores_turns=True)
+    stored.call.previous_turn = "t"
+    assert urgency.level(stored.call, stored.route, "", now) == 5
+
+
+@pytest.mark.parametrize("off", [Mechanism.SHARED_LOAD, Mechanism.CALL_URGENCY])
+def test_the_mechanisms_switch_the_urgency_off(off):
+    assert call_urgency(ALL_MECHANISMS - {off}) is None
+    assert call_urgency(ALL_MECHANISMS) is not None
+
+
+def test_priorities_are_ranked_among_the_routes_of_a_service():
+    routes = []
+    for name, service, priority in (
+        ("a", "s", 5),
+        ("b", "s", 2),
+        ("c", "s", 5),
+        ("d", "other", 9),
+    ):
+        route = World(
+            name=name,
+            path_prefix=f"/{name}/",
+            priority=priority,
+            shares=(ServiceShare(service, 1.0),),
+        ).route
+        routes.append(route)
+    router = Router(RouteTable(1, tuple(routes), {}, ServerLimits()))
+    ranks = [router.priority_rank(route, route.shares[0].service) for route in routes]
+    assert [(rank.rank, rank.count) for rank in ranks] == [
+        (1, 2),
+        (0, 2),
+        (1, 2),
+        (0, 1),
+    ]
--- a/tests/unit/calls/world.py
+++ b/tests/unit/calls/world.py
@@ -157,6 +157,7 @@
         self.waits = RouteResponseTimes(OverduePolicy())
         for _ in range(changes.pop("usual_answers", 0)):
             self.waits.of("r").record(USUAL_SECONDS)
+        urgency = changes.pop("urgency", None)
         self.admission = changes.pop("admission", None) or OpenAdmission()
         settings = {
             "name": "r",
@@ -183,6 +184,7 @@
             dialect=Dialect(),
             admission=self.admission,
             waits=self.waits,
+            urgency=urgency,
         )
         self.lifecycle = CallLifecycle(
             services, self.call, self.route, SERVICE, self.reply
--- a/tests/unit/platform/test_headers.py
+++ b/tests/unit/platform/test_headers.py
@@ -3,7 +3,12 @@
 import pytest
 
 from notcharch.http.messages import RequestHead, ResponseHead
-from notcharch.platform.headers import PlatformDialect, parse_call, response_headers
+from notcharch.platform.headers import (
+    URGENCY,
+    PlatformDialect,
+    parse_call,
+    response_headers,
+)
 from tests.unit.calls.world import engine
 
 FULL = [
@@ -122,6 +127,13 @@
     assert not DIALECT.is_response_to(call, other)
 
 
+def test_the_urgency_is_stated_only_if_the_policy_gives_one():
+    call = read([*FULL, (b"X-Notcharch-Request-Urgency", b"0")])
+    assert DIALECT.request(call, engine("a"), 1).get(URGENCY) is None
+    call.urgency = 7
+    assert DIALECT.request(call, engine("a"), 1).get(URGENCY) == b"7"
+
+
 def test_hop_by_hop_headers_are_not_forwarded():
     head = ResponseHead(
         200, [(b"X-Notcharch-Response-Seal", b"s"), (b"Keep-Alive", b"timeout=5")]
