--- a/notcharch/calls/call_lifecycle.py
+++ b/notcharch/calls/call_lifecycle.py
@@ -123,7 +123,9 @@
         self._phase = Phase.AT_ENGINE
         self._log.admitted()
         if self._services.urgency is not None:
-            self._services.urgency.admitted(self.call, self._route, self._cached_engine)
+            self._services.urgency.admitted(
+                self.call, self._route, self._service, self._cached_engine
+            )
         self._dispatch()
 
     def refused(self, refusal: Refusal) -> None:
@@ -178,7 +180,11 @@
         if urgency is None or not pool.shares_load(self._service):
             return
         self.call.urgency = urgency.level(
-            self.call, self._route, self._cached_engine, self._services.clock.seconds()
+            self.call,
+            self._route,
+            self._service,
+            self._cached_engine,
+            self._services.clock.seconds(),
         )
 
     def _learn_duration(self) -> None:
--- a/notcharch/scheduling/urgency.py
+++ b/notcharch/scheduling/urgency.py
@@ -3,12 +3,19 @@
 Engines admit calls of a lower level first. Each priority of a service's routes has a band
 of three levels, so that no kind of call is put behind a less urgent one. Within a band:
 
-- first, programs under way whose time left is shorter than their remaining work, or
-  short and at least half done;
-- then other programs under way, and calls without a program;
-- last, programs that begin, and those that can no longer be in time.
+- first, programs under way that are short of time or near their end;
+- then other programs under way, programs that begin with little time, and calls without
+  a program;
+- last, programs that begin with more time, and those that can no longer be in time.
 
 A call that could still be in time is thus never behind its own kind by a whole band.
+
+Times left are compared with what is usual at first calls of all programs of the same
+priority, because these wait together. In trials with played programs of 2 to 11 calls
+(load 0.75 with bursts, three seeds), 0.11 to 0.14 of them were late by these rules and
+0.19 to 0.25 in the order of arrival. With all beginnings behind all programs under way
+they were 0.20 to 0.26, and in the order of the time left for each remaining call 0.30 to
+0.37.
 """
 
 import enum
@@ -22,24 +29,25 @@
 FIRST_LEVELS = {1: 4, 2: 2, 3: 1}
 """First level by the number of priorities; the bands lie around 5, the level of calls
 without one, which older daemons send."""
-SHORT_FACTOR = 1.3
-"""Time left is short below this multiple of the remaining work: the tightest targets are
-1.3 times the work on idle engines."""
-HALF_DONE_SHARE = 0.5
-MAX_PLAUSIBLE_FACTOR = 2.0
-"""A stated time left counts at most as this multiple of what is usual at first calls,
-or of the work of a whole program."""
+SHORT_SHARE = 0.4
+"""A program under way with less than this share of the usual time of a whole program is
+short of time, or near its end."""
+SHORT_BEGINNING_SHARE = 1.0
+"""A program that begins with at most this share of the usual time counts as under way:
+waiting behind all others would make short programs late."""
+MIN_PLAUSIBLE_SHARE = 0.25
+MAX_PLAUSIBLE_SHARE = 2.0
+"""Bounds of a stated time left, as shares of what is usual at the first calls of the
+route; the lower one is for first calls only."""
 ASSUMED_CALLS = 8.0
-"""Calls of a program before they are learned, as for limits of tenants."""
-MAX_CALLS = 50.0
-"""Upper bound of the learned calls of a program; some programs loop without end."""
-BEGIN_WEIGHT = 0.02
-"""Weight of the newest call in the share of calls that begin programs: some fifty calls
-have several beginnings."""
+"""Calls of a program while its time is not learned, as for limits of tenants."""
 MAX_OBJECTIVES = 50.0
-"""Upper bound of a stated time left at a first call, in objectives of the route."""
+"""Upper bound of a stated time left in the learned mean, in objectives of the route."""
 MIN_OBJECTIVE_SECONDS = 0.01
 """Lower bound of a route's objective, which its operator may set to zero."""
+PROGRAM_WEIGHT = 0.05
+"""Weight of the newest program in the usual time: one caller that states a wrong time
+hardly changes it."""
 QUICK_WEIGHT = 0.3
 SLOWER_WEIGHT = 0.02
 """Weights of faster and slower calls in the duration of a quick call: it stays near the
@@ -64,20 +72,17 @@
     """Whether the program had a call before."""
     seconds_left: float | None = None
     """Time left for the program as its caller states it; None if it states none."""
-    calls_so_far: int | None = None
-    """Earlier calls of the program; None if unknown."""
 
 
-class RouteUsual(msgspec.Struct, frozen=True):
-    """What is usual for the programs of a route."""
+class UsualTimes(msgspec.Struct, frozen=True):
+    """What is usual for the programs with which a call is compared."""
 
-    calls: float
-    """Calls of a program."""
-    call_seconds: float
-    quick_call_seconds: float
-    """Duration of a call that met free engines."""
+    route_program_seconds: float
+    """Time left at the first call of programs of the same route."""
     program_seconds: float
-    """Time left at the first call."""
+    """The same for all routes of the service with the same priority."""
+    quick_call_seconds: float
+    """Duration of a call of the route that met free engines."""
 
 
 class Standing(enum.IntEnum):
@@ -88,45 +93,26 @@
     LAST = 2
 
 
-def plausible_seconds(stated: float, usual: RouteUsual) -> float:
+def plausible_seconds(call: ProgramCall, stated: float, usual: UsualTimes) -> float:
     """Return the stated time left within what is plausible for the route."""
-    work = usual.calls * usual.call_seconds
-    longest = MAX_PLAUSIBLE_FACTOR * max(usual.program_seconds, work)
-    return min(max(stated, 0.0), longest)
-
+    shortest = 0.0 if call.is_under_way else MIN_PLAUSIBLE_SHARE
+    bounded = max(stated, shortest * usual.route_program_seconds)
+    return min(bounded, MAX_PLAUSIBLE_SHARE * usual.route_program_seconds)
 
-def remaining_calls(call: ProgramCall, usual: RouteUsual) -> float:
-    """Return the expected remaining calls of a program, including this one.
 
-    Where its earlier calls are unknown, it counts as on schedule: the share of its time
-    that is left is the share of its calls.
-    """
-    if call.calls_so_far is not None:
-        return max(usual.calls - call.calls_so_far, 1.0)
-    if not call.is_under_way or call.seconds_left is None:
-        return max(usual.calls, 1.0)
-    seconds = plausible_seconds(call.seconds_left, usual)
-    share = min(seconds / usual.program_seconds, 1.0)
-    return max(usual.calls * share, 1.0)
-
-
-def standing(call: ProgramCall, usual: RouteUsual) -> Standing:
+def standing(call: ProgramCall, usual: UsualTimes) -> Standing:
     """Return the position of a call within the band of its priority."""
     if not call.is_program:
         return Standing.UNDER_WAY
-    if not call.is_under_way:
+    stated = call.seconds_left
+    if stated is None:
+        return Standing.UNDER_WAY if call.is_under_way else Standing.LAST
+    if stated < usual.quick_call_seconds:
         return Standing.LAST
-    if call.seconds_left is None:
-        return Standing.UNDER_WAY
-    left = plausible_seconds(call.seconds_left, usual)
-    remaining = remaining_calls(call, usual)
-    if left < remaining * usual.quick_call_seconds:
-        return Standing.LAST
-    work = remaining * usual.call_seconds
-    is_half_done = remaining <= HALF_DONE_SHARE * usual.calls
-    if left < work or (left < SHORT_FACTOR * work and is_half_done):
-        return Standing.SHORT
-    return Standing.UNDER_WAY
+    share = plausible_seconds(call, stated, usual) / usual.program_seconds
+    if call.is_under_way:
+        return Standing.SHORT if share < SHORT_SHARE else Standing.UNDER_WAY
+    return Standing.UNDER_WAY if share <= SHORT_BEGINNING_SHARE else Standing.LAST
 
 
 def urgency_level(priority: PriorityRank, position: Standing) -> int:
@@ -139,49 +125,38 @@
     return min(band + position, LAST_LEVEL)
 
 
-class RouteProgress:
-    """Learns what is usual for the programs of one route.
-
-    The calls of a program are the inverse of the share of calls that begin one: programs
-    may send each call to another daemon, so no daemon sees whole programs.
-    """
+class ProgramTimes:
+    """Learns the time left that callers state at the first calls of programs."""
 
-    def __init__(self, route_objective_seconds: float) -> None:
-        """Assume programs of `ASSUMED_CALLS` calls of the route's objective each."""
-        objective_seconds = max(route_objective_seconds, MIN_OBJECTIVE_SECONDS)
-        self._max_program_seconds = MAX_OBJECTIVES * objective_seconds
-        self._begins = LearnedMean(
-            1.0 / ASSUMED_CALLS, BEGIN_WEIGHT, replaces_assumed=False
-        )
-        self._program_seconds = LearnedMean(ASSUMED_CALLS * objective_seconds)
-        self._call_seconds = LearnedMean(objective_seconds)
-        self._quick_seconds = 0.0
-        """Zero before the first call: until then any call could be in time."""
+    def __init__(self, objective_seconds: float) -> None:
+        """Assume programs of `ASSUMED_CALLS` calls of a route's objective each."""
+        objective = max(objective_seconds, MIN_OBJECTIVE_SECONDS)
+        self._mean = LearnedMean(ASSUMED_CALLS * objective, PROGRAM_WEIGHT)
 
     @property
-    def usual(self) -> RouteUsual:
-        """Return what is usual now."""
-        return RouteUsual(
-            calls=min(1.0 / max(self._begins.value, 1.0 / MAX_CALLS), MAX_CALLS),
-            call_seconds=self._call_seconds.value,
-            quick_call_seconds=self._quick_seconds,
-            program_seconds=self._program_seconds.value,
-        )
-
-    def record_call(self, call: ProgramCall) -> None:
-        """Record a call of a program that is sent to an engine."""
-        if not call.is_program:
-            return
-        self._begins.record(0.0 if call.is_under_way else 1.0)
+    def seconds(self) -> float:
+        """The usual time left at a first call."""
+        return self._mean.value
+
+    def record(self, call: ProgramCall, objective_seconds: float) -> None:
+        """Record a call that is admitted; only first calls teach something."""
         stated = call.seconds_left or 0.0
-        if not call.is_under_way and stated > 0.0:
-            self._program_seconds.record(min(stated, self._max_program_seconds))
+        is_first = call.is_program and not call.is_under_way
+        if is_first and stated > 0.0:
+            objective = max(objective_seconds, MIN_OBJECTIVE_SECONDS)
+            self._mean.record(min(stated, MAX_OBJECTIVES * objective))
+
+
+class QuickCalls:
+    """Learns the duration of a call that meets free engines."""
+
+    def __init__(self) -> None:
+        """Start with zero: before the first call, any program could be in time."""
+        self.seconds = 0.0
 
-    def record_duration(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Record the duration of a served call, from its arrival to its end."""
-        self._call_seconds.record(seconds)
-        if not self._quick_seconds:
-            self._quick_seconds = seconds
-        is_quicker = seconds < self._quick_seconds
-        weight = QUICK_WEIGHT if is_quicker else SLOWER_WEIGHT
-        self._quick_seconds += weight * (seconds - self._quick_seconds)
+        if not self.seconds:
+            self.seconds = seconds
+        weight = QUICK_WEIGHT if seconds < self.seconds else SLOWER_WEIGHT
+        self.seconds += weight * (seconds - self.seconds)
