--- a/notcharch/platform/process.py
+++ b/notcharch/platform/process.py
@@ -23,10 +23,10 @@
 from notcharch.calls.engine_sender import EngineSender
 from notcharch.calls.engines import EnginePool
 from notcharch.calls.interface import LoadExchange, NoLoadExchange
-from notcharch.calls.policies import cold_policy, pool_policy, wait_policy
+from notcharch.calls.policies import call_urgency, cold_policy, pool_policy, wait_policy
 from notcharch.engine_load.exchange import EngineLoadExchange
 from notcharch.engine_load.messages import ENGINE_LOAD_MESSAGES
-from notcharch.events.calls import CallerNotIdentified, CallServed
+from notcharch.events.calls import CallerNotIdentified, CallServed, EngineChosen
 from notcharch.events.event import emit
 from notcharch.events.output import LogOutput
 from notcharch.events.pause_watch import PauseWatch
@@ -146,6 +146,7 @@
             ),
         )
         self._loads = self._load_exchange(pool, known_daemons, random)
+        pool.use_exchange(self._loads)
         sender = EngineSender(reactor, settings.host)
         self._freshness = TableFreshness(settings.revoke_seconds)
         self._check = CallerCheck(reactor, self._freshness)
@@ -157,6 +158,7 @@
                 dialect=PlatformDialect(),
                 admission=self._accounts.admission,
                 waits=RouteResponseTimes(wait_policy(mechanisms)),
+                urgency=call_urgency(mechanisms),
             ),
             self._check,
         )
@@ -187,7 +189,7 @@
             drained=lambda: self._tables.drained_zones,
             apply_drained=self._tables.apply_peer_drained_zones,
         )
-        routine = (CallServed, CallerNotIdentified, LimitReached)
+        routine = (CallServed, CallerNotIdentified, EngineChosen, LimitReached)
         self._output = LogOutput(
             STANDARD_OUTPUT,
             reactor,
--- a/tests/unit/platform/test_headers.py
+++ b/tests/unit/platform/test_headers.py
@@ -3,7 +3,12 @@
 import pytest
 
 from notcharch.http.messages import RequestHead, ResponseHead
-from notcharch.platform.headers import PlatformDialect, parse_call, response_headers
+from notcharch.platform.headers import (
+    URGENCY,
+    PlatformDialect,
+    parse_call,
+    response_headers,
+)
 from tests.unit.calls.world import engine
 
 FULL = [
@@ -54,6 +59,20 @@
     assert read([(name, value)]) is None
 
 
+@pytest.mark.parametrize(
+    ("usage", "tokens"),
+    [
+        (b"1840,575", 1840),
+        (b" 12 ,575", 12),
+        (b"-5,575", 0),
+        (b"many,575", 0),
+        (b"9" * 40 + b",575", 0),
+    ],
+)
+def test_unreadable_prompt_tokens_are_ignored(usage, tokens):
+    assert read([(b"X-Notcharch-Token-Usage", usage)]).prompt_tokens == tokens
+
+
 def test_a_request_carries_the_remaining_time_and_the_expected_engine():
     head = DIALECT.request(read(FULL), engine("i-7f"), 1234)
     assert head.target == b"/a/b?c"
@@ -108,6 +127,13 @@
     assert not DIALECT.is_response_to(call, other)
 
 
+def test_the_urgency_is_stated_only_if_the_policy_gives_one():
+    call = read([*FULL, (b"X-Notcharch-Request-Urgency", b"0")])
+    assert DIALECT.request(call, engine("a"), 1).get(URGENCY) is None
+    call.urgency = 7
+    assert DIALECT.request(call, engine("a"), 1).get(URGENCY) == b"7"
+
+
 def test_hop_by_hop_headers_are_not_forwarded():
     head = ResponseHead(
         200, [(b"X-Notcharch-Response-Seal", b"s"), (b"Keep-Alive", b"timeout=5")]
