--- a/notcharch/calls/engines.py
+++ b/notcharch/calls/engines.py
@@ -243,13 +243,16 @@
 
     # Figures of a service
 
-    def total_slots(self, service: str) -> int:
-        """Return the slots of the engines that are listed and not draining."""
-        return sum(
-            state.slots
-            for state in self._by_service.get(service, [])
-            if state.last_resort_since is None
-            and self.eligibility.takes_calls(state.engine)
+    def engine_slots(self, service: str) -> int:
+        """Return the slots of the service's largest engine that is not draining."""
+        return max(
+            (
+                state.slots
+                for state in self._by_service.get(service, [])
+                if state.last_resort_since is None
+                and self.eligibility.takes_calls(state.engine)
+            ),
+            default=0,
         )
 
     def mean_run_seconds(self, service: str) -> float | None:
@@ -301,7 +304,8 @@
 
         `regions` are those in which the call may be served, or None for all. `loads` are
         the calls of all daemons by engine; where none is known, this daemon's own calls
-        decide. An engine whose load is unknown is selected only if it caches the prefix.
+        decide. An engine whose load is unknown is selected only if it caches the prefix, or
+        if all engines of known load are full.
         """
         if loads:
             self._loads_at[service] = self._clock.seconds()
@@ -317,6 +321,11 @@
         if not loaded or keeps_unknown:
             engine = self._routing.choose(options, call).engine
             return Selection(engine, ChoiceReason.OWN_COUNTS)
+        unknown = [state for state in options if state.id not in loads]
+        if unknown and all(engine.is_full for engine in loaded):
+            # Otherwise a tracker that does not answer takes its engines out of service.
+            engine = self._routing.choose(unknown, call).engine
+            return Selection(engine, ChoiceReason.OWN_COUNTS)
         needs = self._needs(service, cached_engine, prompt_tokens)
         choice = choose_by_cost(loaded, needs, self._random)
         chosen = choice.chosen.engine
--- a/notcharch/engine_load/service_modes.py
+++ b/notcharch/engine_load/service_modes.py
@@ -13,8 +13,8 @@
 class ServiceFigures(Protocol):
     """What decides whether a service's loads are exchanged."""
 
-    def total_slots(self, service: str) -> int:
-        """Return the slots of all engines of a service."""
+    def engine_slots(self, service: str) -> int:
+        """Return the slots of a service's largest engine; 0 without engines."""
 
     def mean_run_seconds(self, service: str) -> float | None:
         """Return the mean duration of a service's calls; None while unknown."""
@@ -42,7 +42,7 @@
         return known
 
     def _compute(self, service: str, members: int, now: float) -> ExchangeMode:
-        slots = self._figures.total_slots(service)
+        slots = self._figures.engine_slots(service)
         seconds = self._figures.mean_run_seconds(service)
         mode = exchange_mode(slots, members, seconds)
         logged, at = self._logged.get(service, (ExchangeMode.OFF, None))
--- a/notcharch/engine_load/tracked_loads.py
+++ b/notcharch/engine_load/tracked_loads.py
@@ -25,8 +25,9 @@
 handover of 1.25 s, and a second by which views of the members differ."""
 MIN_FINISHED_CALLS = 3
 """With fewer calls, one call in a slow period would define an engine's speed."""
-RECENT_CALL_WEIGHT = 0.2
-"""Weight of the last call in the mean interval; follows a change within ten calls."""
+RECENT_CALL_WEIGHT = 0.05
+"""Weight of the last call in the mean interval. Engines differ lastingly in speed; a slow
+period of some hundred ms is over before a call that is placed by it."""
 INTERVAL_DIGITS = 5
 """Decimal places of an interval in a reply; intervals are some milliseconds."""
 
--- a/notcharch/scheduling/load_trackers.py
+++ b/notcharch/scheduling/load_trackers.py
@@ -13,8 +13,12 @@
 
 MEMBERS_PER_TRACKER = 12
 """Members per load tracker, so that the work of a tracker does not grow with them."""
-MIN_SLOTS_PER_MEMBER = 3
-"""With fewer slots per daemon, its own calls say next to nothing about an engine."""
+MAX_ENGINE_SLOTS = 8
+"""An engine with more slots absorbs the few calls that daemons send to it at once."""
+MIN_MEMBERS_PER_SLOT = 2
+"""With as many daemons for each slot of an engine, a daemon's own calls say next to
+nothing about the engine's load. Only owners of partitions are known as members, so there
+may be more daemons."""
 MIN_RUN_SECONDS = 0.05
 """A request takes 2 ms; it must not cost a short call a tenth of its time."""
 MIN_REPORTED_RUN_SECONDS = MIN_RUN_SECONDS / 2
@@ -39,17 +43,17 @@
 
 
 def exchange_mode(
-    slots: int, members: int, mean_run_seconds: float | None
+    engine_slots: int, members: int, mean_run_seconds: float | None
 ) -> ExchangeMode:
-    """Return the mode for a service with a number of slots and a mean run of its calls.
+    """Return the mode for a service, by the slots of an engine and its calls' mean run.
 
-    Calls of unknown duration are reported, as they may be long, but do not wait.
+    Loads are also requested for calls of unknown duration, which may be long. The first
+    completed call shows it.
     """
-    if slots >= MIN_SLOTS_PER_MEMBER * members:
+    is_shared = members >= MIN_MEMBERS_PER_SLOT * engine_slots
+    if not is_shared or not 0 < engine_slots <= MAX_ENGINE_SLOTS:
         return ExchangeMode.OFF
-    if mean_run_seconds is None:
-        return ExchangeMode.REPORTS
-    if mean_run_seconds >= MIN_RUN_SECONDS:
+    if mean_run_seconds is None or mean_run_seconds >= MIN_RUN_SECONDS:
         return ExchangeMode.REQUESTS
     if mean_run_seconds >= MIN_REPORTED_RUN_SECONDS:
         return ExchangeMode.REPORTS
--- a/tests/unit/engine_load/test_events.py
+++ b/tests/unit/engine_load/test_events.py
@@ -16,7 +16,7 @@
     assert len(lines) == 2
     assert (lines[0]["mode"], lines[0]["slots"], lines[0]["members"]) == (
         "requests",
-        4,
+        1,
         2,
     )
 
