--- a/notcharch/gateway/call_lifecycle.py
+++ b/notcharch/gateway/call_lifecycle.py
@@ -12,8 +12,13 @@
 from automat import TypeMachineBuilder, pep614
 
 from notcharch.clients.ports import StreamEnd
-from notcharch.errors import Problem
-from notcharch.gateway.call_outcome import answer_of, not_run, with_worst_ran
+from notcharch.errors import Problem, Ran
+from notcharch.gateway.call_outcome import (
+    answer_of,
+    not_run,
+    with_ran_at_least,
+    with_worst_ran,
+)
 from notcharch.gateway.call_steps import (
     AcquireSlot,
     Admit,
@@ -36,8 +41,12 @@
     def begin(self) -> Step:
         """Start the state machine."""
 
-    def admitted(self) -> Step:
-        """Continue after the leader admitted a new attempt of this gateway."""
+    def admitted(self, ran_before: Ran) -> Step:
+        """Continue after the leader admitted a new attempt of this gateway.
+
+        `ran_before` tells whether earlier attempts at the call may have run, also those
+        of other requests.
+        """
 
     def in_progress(self) -> Step:
         """Continue when another gateway runs the call."""
@@ -90,6 +99,8 @@
     problem: Problem | None = None
     earlier_problem: Problem | None = None
     """Failure of the earlier attempts, with the most severe `ran` among them."""
+    ran_before: Ran = Ran.NO
+    """Whether attempts before the newest one may have run, as the leader reported."""
 
     def record_failure(self, problem: Problem) -> CommitFailure:
         """Record a failed stream; returns the step that stores its outcome."""
@@ -100,10 +111,19 @@
         return CommitFailure(problem)
 
     def final_problem(self) -> ReturnProblem:
-        """Return the problem; its `ran` covers all attempts of the call."""
+        """Return a problem that the leader reported or stored for the whole call."""
         assert self.problem is not None
         return ReturnProblem(with_worst_ran(self.earlier_problem, self.problem))
 
+    def unconfirmed_problem(self, ran: Ran) -> ReturnProblem:
+        """Return a problem that the leader did not store.
+
+        Its `ran` covers this attempt, the earlier ones, and others that are known only
+        by `ran`.
+        """
+        problem = with_ran_at_least(self.final_problem().problem, ran)
+        return ReturnProblem(with_ran_at_least(problem, self.ran_before))
+
 
 builder = TypeMachineBuilder(CallLifecycle, CallLifecycleCore)
 new = builder.state("new")
@@ -124,8 +144,11 @@
 
 
 @pep614(admitting.upon(CallLifecycle.admitted).to(acquiring_slot))
-def _admitted(lifecycle: CallLifecycle, core: CallLifecycleCore) -> Step:
+def _admitted(
+    lifecycle: CallLifecycle, core: CallLifecycleCore, ran_before: Ran
+) -> Step:
     core.attempts += 1
+    core.ran_before = ran_before
     return AcquireSlot()
 
 
@@ -205,7 +228,8 @@
 def _answer_not_committed(
     lifecycle: CallLifecycle, core: CallLifecycleCore, problem: Problem
 ) -> Step:
-    return ReturnProblem(problem)
+    # The engine sent its complete answer, whatever the leader reports.
+    return ReturnProblem(with_ran_at_least(problem, Ran.YES))
 
 
 @pep614(committing_refusal.upon(CallLifecycle.committed).to(ended))
@@ -219,7 +243,7 @@
     lifecycle: CallLifecycle, core: CallLifecycleCore, problem: Problem
 ) -> Step:
     # The refusal is returned at once; `OutcomeDelivery` keeps trying to store it.
-    return core.final_problem()
+    return core.unconfirmed_problem(Ran.NO)
 
 
 @pep614(committing_answer.upon(CallLifecycle.superseded).to(waiting))
@@ -231,7 +255,8 @@
 
 @pep614(committing_refusal.upon(CallLifecycle.superseded).to(ended))
 def _refusal_superseded(lifecycle: CallLifecycle, core: CallLifecycleCore) -> Step:
-    return core.final_problem()
+    # A newer attempt exists, and it may run.
+    return core.unconfirmed_problem(Ran.UNKNOWN)
 
 
 @pep614(committing_repeat.upon(CallLifecycle.committed).to(admitting))
--- a/notcharch/gateway/call_outcome.py
+++ b/notcharch/gateway/call_outcome.py
@@ -22,7 +22,7 @@
 
 
 def not_run(problem: Problem) -> Problem:
-    """Return the problem of a call that was never sent to an engine.
+    """Return the problem of an attempt that was never sent to an engine.
 
     `ran` is no even if the outcome of a control message is unknown, since only
     this gateway can open the stream.
@@ -32,9 +32,14 @@
 
 def with_worst_ran(earlier: Problem | None, problem: Problem) -> Problem:
     """Return `problem` with the more severe `ran` of the two."""
-    if earlier is None or _SEVERITY[earlier.ran] <= _SEVERITY[problem.ran]:
+    return problem if earlier is None else with_ran_at_least(problem, earlier.ran)
+
+
+def with_ran_at_least(problem: Problem, ran: Ran) -> Problem:
+    """Return `problem` with `ran` if that is more severe than its own."""
+    if _SEVERITY[ran] <= _SEVERITY[problem.ran]:
         return problem
-    return msgspec.structs.replace(problem, ran=earlier.ran)
+    return msgspec.structs.replace(problem, ran=ran)
 
 
 def may_retry(problem: Problem, *, repeatable: bool, attempts: int) -> bool:
--- a/notcharch/gateway/call_run.py
+++ b/notcharch/gateway/call_run.py
@@ -8,6 +8,10 @@
 from twisted.internet.defer import Deferred
 
 from notcharch.errors import Problem, ProblemCode, Ran
+from notcharch.gateway.admission_withdrawal import (
+    ADMISSION_SECONDS,
+    AdmissionWithdrawals,
+)
 from notcharch.gateway.call_lifecycle import (
     CallLifecycle,
     CallLifecycleCore,
@@ -54,9 +58,6 @@
 )
 
 ADMISSION_TRIES = 3
-ADMISSION_SECONDS = 10.0
-"""Timeout of an admission; includes the leader's wait for the previous call."""
-
 AWAIT_SECONDS = 10.0
 AWAIT_FAILURES = 4
 """Failure count that sets the delay after a failed request; see `RetryPolicy`."""
@@ -77,16 +78,20 @@
         spec: CallSpec,
         tools: CallTools,
         delivery: OutcomeDelivery,
+        withdrawals: AdmissionWithdrawals,
         sink: StreamSink | None,
     ) -> None:
         """Run `spec`; the bytes of its stream go to `sink`, if any."""
         self._spec = spec
         self._tools = tools
         self._delivery = delivery
+        self._withdrawals = withdrawals
         self._sink = sink
         self._core = CallLifecycleCore()
         self._lifecycle: CallLifecycle = CallLifecycleMachine(self._core)
         self._attempt: EngineAttempt | None = None
+        self._has_lost_admission = False
+        """Whether the leader may hold an attempt that this gateway has not learnt of."""
         self._started_at = tools.clock.seconds()
 
     async def run(self) -> Result[Answer, Problem]:
@@ -137,18 +142,25 @@
             gateway=self._tools.own_member,
             parameter_tokens=parameter_tokens(spec.parameters),
         )
+        # This admission replaces one that an earlier request may have left behind.
+        if self._withdrawals.cancel(spec.program, spec.sequence):
+            self._admission_lost()
         reply = await self._tools.leader.request(
             spec.program,
             message,
             tries=ADMISSION_TRIES,
             timeout_seconds=ADMISSION_SECONDS,
+            on_lost_reply=self._admission_lost,
         )
         if isinstance(reply, Err):
+            if self._has_lost_admission:
+                self._withdrawals.withdraw(message)
             return self._lifecycle.refused(scope_ran_to_call(reply.err_value))
+        self._has_lost_admission = False
         match reply.ok_value:
             case CallAdmitted() as admitted:
                 self._attempt = EngineAttempt(spec, admitted, self._tools, self._sink)
-                return self._lifecycle.admitted()
+                return self._lifecycle.admitted(admitted.ran_before)
             case CallInProgress():
                 return self._lifecycle.in_progress()
             case CallAnswered(_, answer):
@@ -157,6 +169,9 @@
                 return self._lifecycle.refused(problem)
         return self._lifecycle.refused(unexpected(reply.ok_value))
 
+    def _admission_lost(self) -> None:
+        self._has_lost_admission = True
+
     async def _await_other_gateway(self) -> Step:
         spec = self._spec
         message = AwaitAnswer(spec.program, spec.tenant, spec.sequence, AWAIT_SECONDS)
--- a/notcharch/gateway/call_runs.py
+++ b/notcharch/gateway/call_runs.py
@@ -8,6 +8,7 @@
 from notcharch.errors import Problem, ProblemCode, Ran
 from notcharch.events.event import emit
 from notcharch.events.gateway import CallEnded, CallRunFailed
+from notcharch.gateway.admission_withdrawal import AdmissionWithdrawals
 from notcharch.gateway.call_run import CallRun
 from notcharch.gateway.call_spec import CallSpec
 from notcharch.gateway.call_tools import CallTools
@@ -60,6 +61,9 @@
         """Run calls with `tools`."""
         self._tools = tools
         self._delivery = OutcomeDelivery(tools.leader, tools.clock)
+        self._withdrawals = AdmissionWithdrawals(
+            tools.leader, self._delivery, tools.clock
+        )
         self._running: dict[CallKey, RunningCall] = {}
 
     def __len__(self) -> int:
@@ -104,7 +108,7 @@
             )
             running.complete(outcome)
 
-        run = CallRun(spec, self._tools, self._delivery, sink)
+        run = CallRun(spec, self._tools, self._delivery, self._withdrawals, sink)
         finished = Deferred.fromCoroutine(run.run())
 
         def on_error(failure: Failure) -> Outcome:
@@ -115,10 +119,11 @@
         return running
 
     async def when_idle(self) -> None:
-        """Return when no run is in flight and no outcome is left to deliver."""
+        """Return when no run, withdrawal or delivery of an outcome is left."""
         while self._running:
             running = next(iter(self._running.values()))
             await running.outcome()
+        await self._withdrawals.when_all_done()
         await self._delivery.when_all_delivered()
 
     def _record_outcome(self, spec: CallSpec, outcome: Outcome, seconds: float) -> None:
--- a/notcharch/gateway/leader_client.py
+++ b/notcharch/gateway/leader_client.py
@@ -5,6 +5,7 @@
 """
 
 import random
+from collections.abc import Callable
 from typing import TypeVar
 
 import msgspec
@@ -66,8 +67,13 @@
         *,
         tries: int = 1,
         timeout_seconds: float = REQUEST_SECONDS,
+        on_lost_reply: Callable[[], None] | None = None,
     ) -> Result[Message, Problem]:
-        """Send a request to the program's leader; retries on transient problems."""
+        """Send a request to the program's leader; retries on transient problems.
+
+        `on_lost_reply` is called after each try that the leader may have carried out
+        although it failed.
+        """
         partition = self.partition_of(program)
         if isinstance(partition, Err):
             return Err(partition.err_value)
@@ -76,6 +82,8 @@
             reply = await self._router.to_partition(
                 partition.ok_value, message, timeout_seconds
             )
+            if on_lost_reply is not None and _is_lost_reply(reply):
+                on_lost_reply()
             if isinstance(reply, Ok) or not is_transient(reply.err_value):
                 return reply
             failures += 1
@@ -89,6 +97,10 @@
         return deferLater(self._clock, delay, lambda: None)
 
 
+def _is_lost_reply(reply: Result[Message, Problem]) -> bool:
+    return isinstance(reply, Err) and reply.err_value.ran is not Ran.NO
+
+
 def is_transient(problem: Problem) -> bool:
     """Return whether a retry of the same request may succeed."""
     return any(
@@ -105,9 +117,10 @@
     """Return the problem with `ran` for the whole call instead of this request.
 
     Another gateway may have run the same call for an earlier request. Only the leader
-    knows, so `ran` is unknown if the leader could not be reached.
+    knows, so `ran` is unknown if the leader could not be reached, or if its daemon was
+    too busy to look at the request.
     """
-    if not is_transient(problem):
+    if not is_transient(problem) and not problem.is_code(ProblemCode.OVERLOADED):
         return problem
     return msgspec.structs.replace(problem, ran=Ran.UNKNOWN)
 
--- a/notcharch/gateway/outcome_delivery.py
+++ b/notcharch/gateway/outcome_delivery.py
@@ -61,7 +61,7 @@
         try:
             while True:
                 reply = await self._leader.request(outcome.program, outcome)
-                if isinstance(reply, Ok) or not is_transient(reply.err_value):
+                if isinstance(reply, Ok) or not _may_be_stored_later(reply.err_value):
                     return expect(reply, FinishRecorded)
                 failures += 1
                 if self._clock.seconds() >= deadline:
@@ -79,6 +79,11 @@
             waiter.callback(None)
 
 
+def _may_be_stored_later(problem: Problem) -> bool:
+    """Return whether to repeat a delivery; a busy daemon did not look at it."""
+    return is_transient(problem) or problem.is_code(ProblemCode.OVERLOADED)
+
+
 def _not_stored() -> Problem:
     return Problem.of(
         ProblemCode.UNAVAILABLE,
--- a/notcharch/programs/admission.py
+++ b/notcharch/programs/admission.py
@@ -190,4 +190,5 @@
         attained_tokens=store.budget_of(record).settled,
         started_at=record.started_at or record.created_at,
         prefix=record.prefix,
+        ran_before=record.ran_so_far,
     )
--- a/notcharch/programs/commands.py
+++ b/notcharch/programs/commands.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from notcharch.errors import Problem
+from notcharch.errors import Problem, Ran
 from notcharch.partitions.interface import Command, CommandResult
 from notcharch.values.chat import Answer, ChatMessage, PrefixLocation
 from notcharch.values.identifiers import (
@@ -178,7 +178,8 @@
 class AttemptAdmitted(CommandResult, frozen=True):
     """A new attempt was admitted in `epoch` and has its reservation.
 
-    `message_count` is the number of history messages before the new ones.
+    `message_count` is the number of history messages before the new ones. `ran_before`
+    tells whether an earlier attempt at the call may have run.
     """
 
     attempt: AttemptNumber
@@ -189,6 +190,7 @@
     attained_tokens: int
     started_at: float
     prefix: PrefixLocation | None
+    ran_before: Ran
 
 
 class AttemptJoined(CommandResult, frozen=True):
--- a/notcharch/programs/replies.py
+++ b/notcharch/programs/replies.py
@@ -31,6 +31,7 @@
         attained_tokens=admitted.attained_tokens,
         started_at=admitted.started_at,
         prefix=admitted.prefix,
+        ran_before=admitted.ran_before,
     )
 
 
--- a/notcharch/wire/messages/programs.py
+++ b/notcharch/wire/messages/programs.py
@@ -6,7 +6,7 @@
 change is in the journal of the partition.
 """
 
-from notcharch.errors import Problem
+from notcharch.errors import Problem, Ran
 from notcharch.values.chat import Answer, ChatMessage, PrefixLocation
 from notcharch.values.identifiers import (
     AttemptNumber,
@@ -67,7 +67,8 @@
     messages follow it in the prompt. `prompt_tokens` is an upper bound in
     tokens. `attained_tokens` is the service that the whole program tree has
     had so far. `started_at` is the program's first call, in seconds since
-    1970. `epoch` is the leader's.
+    1970. `epoch` is the leader's. `ran_before` tells whether an earlier attempt
+    at the call may have run; an older leader does not say so.
     """
 
     program: ProgramId
@@ -80,6 +81,7 @@
     attained_tokens: int
     started_at: float
     prefix: PrefixLocation | None = None
+    ran_before: Ran = Ran.UNKNOWN
 
 
 class CallInProgress(Message, frozen=True):
--- a/tests/unit/gateway/test_call_faults.py
+++ b/tests/unit/gateway/test_call_faults.py
@@ -354,3 +354,125 @@
     before = None if earlier is None else engine_failed(earlier)
     problem = with_worst_ran(before, msgspec.structs.replace(overloaded(), ran=ran))
     assert problem == msgspec.structs.replace(overloaded(), ran=expected_ran)
+
+
+BUSY_DAEMON = Problem.of(ProblemCode.OVERLOADED, "too many requests", retry_after=1.0)
+NO_HISTORY = Problem.of(ProblemCode.HISTORY_UNAVAILABLE, "no log", retry_after=0.5)
+
+
+@pytest.mark.parametrize("last", [NO_REPLY, UNSENT, NO_HISTORY])
+def test_an_admission_is_withdrawn_whose_reply_was_lost(harness, last):
+    """Its tokens would stay reserved for as long as an admitted call may wait."""
+    program = harness.program()
+    faults = [reply_dropped(NO_REPLY), refused(last), refused(last), refused(last)]
+    harness.router.faults[AdmitCall] = faults
+    caller = harness.call(program)
+    harness.clock.pump([0.1] * 50)
+    assert caller.response().status == 503
+    assert not harness.engines.streams
+    check_all_released(harness)
+
+
+def lose_admission(harness, program):
+    """Admit a call without a reply; return the response of its request."""
+    harness.router.faults[AdmitCall] = [reply_dropped(NO_REPLY)] * 100
+    caller = harness.call(program)
+    harness.clock.pump([0.1] * 4)
+    harness.router.faults.clear()
+    return caller.response()
+
+
+def test_a_withdrawal_ends_where_the_next_request_takes_the_admission_over(harness):
+    """The withdrawal must not end the attempt of the next request."""
+    program = harness.program()
+    assert lose_admission(harness, program).status == 503
+    delayed = DelayedReply()
+    harness.router.faults[DispatchCall] = [delayed]
+    second = harness.call(program)
+    harness.clock.pump([0.1] * 50)
+    delayed.release()
+    harness.stream.answer("one")
+    assert second.response().status == 200
+    assert len(harness.engines.streams) == 1
+    check_all_released(harness)
+
+
+def test_a_request_that_reaches_no_leader_goes_on_with_an_earlier_withdrawal(harness):
+    """The admission that the first request lost would stay at the leader."""
+    program = harness.program()
+    lose_admission(harness, program)
+    harness.router.faults[AdmitCall] = [refused(UNSENT)] * 3
+    second = harness.call(program)
+    harness.clock.pump([0.1] * 50)
+    assert second.response().status == 503
+    assert not harness.engines.streams
+    check_all_released(harness)
+
+
+def test_a_drain_waits_for_withdrawals(harness):
+    """A daemon that stops earlier would leave the admission to the leader's limit."""
+    program = harness.program()
+    lose_admission(harness, program)
+    idle = harness.gateway.when_idle()
+    assert not idle.called
+    harness.clock.pump([0.1] * 50)
+    assert idle.called
+    check_all_released(harness)
+
+
+def ran_before(harness):
+    """Let a repeatable call run in vain; return its program."""
+    program = harness.program()
+    harness.call(program)
+    harness.placer.problem = overloaded()
+    harness.stream.fail(engine_failed(Ran.YES))
+    return program
+
+
+def test_an_unstored_refusal_covers_the_runs_of_earlier_requests(harness):
+    """Only the leader knows them, and it tells them with the admission."""
+    program = ran_before(harness)
+    harness.router.faults[FinishCall] = [refused(UNSENT)] * 20
+    caller = harness.call(program)
+    harness.clock.advance(1)
+    assert caller.response().json["ran"] == "unknown"
+    harness.router.faults.clear()
+    harness.clock.pump([1] * 10)
+    check_all_released(harness)
+
+
+def test_a_superseded_refusal_does_not_speak_for_the_newer_attempt(harness):
+    """Another gateway may be running the call by then."""
+    program = harness.program()
+    harness.placer.problem = overloaded()
+    harness.router.faults[FinishCall] = [reply_dropped(STALE)]
+    caller = harness.call(program)
+    assert caller.response().json["ran"] == "unknown"
+    check_all_released(harness)
+
+
+def test_a_busy_daemon_does_not_know_whether_a_call_ran(harness):
+    """It refuses without a look at the leader's record."""
+    program = ran_before(harness)
+    harness.router.faults[AdmitCall] = [refused(BUSY_DAEMON)]
+    response = harness.call(program).response()
+    assert (response.json["code"], response.json["ran"]) == ("overloaded", "unknown")
+
+
+def test_an_answer_is_stored_after_a_busy_daemon_refused_it(harness):
+    """A dropped outcome would lose the answer and leave the call dispatched."""
+    caller = harness.call(harness.program())
+    harness.router.faults[FinishCall] = [refused(BUSY_DAEMON)] * 2
+    harness.stream.answer("one")
+    harness.clock.pump([0.1] * 10)
+    assert caller.response().status == 200
+    check_all_released(harness)
+
+
+def test_an_answer_that_cannot_be_stored_has_run(harness):
+    """A refusal by the leader's daemon must not look like that of a call not sent."""
+    caller = harness.call(harness.program())
+    refusal = Problem.of(ProblemCode.BODY_TOO_LARGE, "too long for a message")
+    harness.router.faults[FinishCall] = [refused(refusal)]
+    harness.stream.answer("one")
+    assert caller.response().json["ran"] == "yes"
