--- a/notcharch/calls/call_lifecycle.py
+++ b/notcharch/calls/call_lifecycle.py
@@ -26,6 +26,12 @@
 MAX_SENDS = 4
 """Maximum number of engines that one call is sent to, including those that reject it."""
 SERVER_ERRORS = 500
+REFUSAL_STATUSES = (408, 421, 429, 503)
+"""Statuses that promise a caller that its call has not run and never will.
+
+An engine that ran a call may send one as well. It is relayed only if the call may run
+again.
+"""
 
 UNREACHABLE = "unreachable"
 DRAINED = "the engine was drained before the call was sent"
@@ -220,13 +226,17 @@
             self._retry_or_end(NOT_GENUINE)
         elif is_success and (self._is_relaying or self._pending_head is not None):
             self._complete_stream()
-        elif self._is_relaying:
+        elif self._is_relaying or self._is_false_refusal(head.status):
             self._retry_or_end(f"{SERVER_ERROR}: {head.status}")
         elif head.status >= SERVER_ERRORS and self._may_run_again():
             self._retry(f"{SERVER_ERROR}: {head.status}")
         else:
             self._relay_response(head, body)
 
+    def _is_false_refusal(self, status: int) -> bool:
+        """Return whether a status would promise that a call did not run that may have."""
+        return status in REFUSAL_STATUSES and not self._route.is_repeatable
+
     def run_failed(self, cause: str) -> None:
         """Retry if the route allows it: the call may have run."""
         self._run = None
--- a/tests/unit/calls/test_call_lifecycle.py
+++ b/tests/unit/calls/test_call_lifecycle.py
@@ -2,6 +2,7 @@
 
 import pytest
 
+from notcharch.calls.call_lifecycle import REFUSAL_STATUSES
 from notcharch.calls.interface import MAY_HAVE_RUN, NO_ENGINE, TIMED_OUT
 from notcharch.http.client import ResponseFailure
 from notcharch.scheduling.engine_health import MIN_SILENCE_SECONDS
@@ -26,6 +27,22 @@
     assert world.reply.head.status == 500
 
 
+@pytest.mark.parametrize("status", REFUSAL_STATUSES)
+@pytest.mark.parametrize("is_stream", [False, True])
+def test_an_engine_that_may_have_run_a_call_does_not_refuse_it(status, is_stream):
+    """The caller would take the status as a promise that its call has not run."""
+    world = World(max_engines=3, is_stream=is_stream)
+    world.sent[0].respond(status, b"busy")
+    assert world.reply.refusal == MAY_HAVE_RUN
+    assert len(world.sent) == 1
+
+
+def test_an_error_response_to_a_repeatable_call_is_passed_on():
+    world = World(is_repeatable=True)
+    world.sent[0].respond(503, b"busy")
+    assert world.reply.head.status == 503
+
+
 def test_a_refused_call_goes_to_other_engines_and_then_back():
     world = World()
     for place in range(3):
