--- a/tests/stateful/calls/test_refusals_machine.py
+++ b/tests/stateful/calls/test_refusals_machine.py
@@ -17,7 +17,6 @@
 from tests.stateful.calls.refusals_machine import RefusalsMachine
 from tests.stateful.runs import RUN, assert_caught
 
-
 SCHEDULES = settings(RUN, max_examples=200)
 FAULT_RUN = settings(
     SCHEDULES,
