--- a/notcharch/scheduling/expected_seconds.py
+++ b/notcharch/scheduling/expected_seconds.py
@@ -29,9 +29,9 @@
 """Weight of a wait for a slot in the comparison of engines.
 
 A call at a full engine also delays the calls that come after it there, which its own
-expected seconds do not show. In a played service of 12 engines of unequal speed (load
-0.75) the mean call took 0.197 s with weight 1, 0.164 s with 2, 0.146 s with 4 and
-0.142 s with 8.
+expected seconds do not show. In trials with a played service of 12 engines of unequal
+speed (load 0.75, `FILL_SHARE` 0.1 and linear) the mean call took 0.197 s with weight 1,
+0.164 s with 2, 0.146 s with 4 and 0.142 s with 8.
 """
 OTHER_ZONE_SECONDS = 0.003
 """Additional network time of a call to another zone of the region."""
