--- a/notcharch/calls/call_lifecycle.py
+++ b/notcharch/calls/call_lifecycle.py
@@ -81,6 +81,7 @@
         """
         self._cause = ""
         """Why the last run failed."""
+        self._is_caller_behind = False
         self._output: list[bytes] = []
         """The relayed events, if the turn is to be stored."""
         self._log = CallLog(services.clock, call, route)
@@ -95,6 +96,7 @@
         seconds_left = max(self._deadline - clock.seconds(), 0.0)
         self._timer = clock.callLater(seconds_left, self._expire)
         self._reply.on_disconnect(self._caller_disconnected)
+        self._reply.watch_backlog(self._caller_backlog_changed)
         self._services.admission.request(self.call, self._route, self)
 
     # Admission
@@ -193,6 +195,8 @@
             if self._route.stores_turns:
                 self._output.append(complete_events)
             self._reply.write(complete_events)
+            if self._is_caller_behind and self._run is not None:
+                self._run.pause_reading()
         return bool(complete_events)
 
     def run_unreachable(self) -> None:
@@ -340,6 +344,16 @@
         elif self._phase is Phase.AT_ENGINE:
             self._refuse(TIMED_OUT)
 
+    def _caller_backlog_changed(self, is_behind: bool) -> None:
+        """Stop reading from the engine while the caller is behind."""
+        self._is_caller_behind = is_behind
+        if self._run is None:
+            return
+        if is_behind:
+            self._run.pause_reading()
+        else:
+            self._run.resume_reading()
+
     def _caller_disconnected(self) -> None:
         """Cancel the run of a caller that has disconnected."""
         if self._phase is Phase.OVER:
--- a/notcharch/calls/engine_run.py
+++ b/notcharch/calls/engine_run.py
@@ -22,6 +22,9 @@
 
 CLIENT_ERRORS = 400
 OVERDUE = "the first response was overdue"
+UNREAD = "the engine closed an answer that was not read in time for a slow caller"
+UNREAD_FAILURES = (ResponseFailure.CLOSED, ResponseFailure.RESET)
+"""Failures that don't count against an engine after its answer went unread."""
 
 
 class CallServices(msgspec.Struct, frozen=True):
@@ -91,6 +94,9 @@
         self._last_event_at: float | None = None
         """Clock seconds at which the last event was received."""
         self._sent_at = 0.0
+        self._is_paused = False
+        self._was_paused = False
+        """Whether reading was ever paused because the caller was behind."""
         self._events = 0
         """Number of reads that completed an event; several events in one read count once."""
         self._overdue = OverdueWatch(
@@ -112,7 +118,25 @@
             self._request.abandon()
         self._finish()
 
+    def pause_reading(self) -> None:
+        """Stop reading the stream, because the caller is behind."""
+        if self._is_paused or self._request is None:
+            return
+        self._is_paused = self._was_paused = True
+        self._last_event_at = None
+        self._services.pool.reading_paused(self.engine.id)
+        self._request.pause_reading()
+
+    def resume_reading(self) -> None:
+        """Continue to read the stream."""
+        if not self._is_paused or self._request is None:
+            return
+        self._is_paused = False
+        self._services.pool.reading_resumed(self.engine.id)
+        self._request.resume_reading()
+
     def _finish(self) -> None:
+        self.resume_reading()
         self._overdue.stop()
         self._services.pool.call_ended(self.engine.id)
 
@@ -174,7 +198,7 @@
         """Report the time since the call was sent, or since the previous event."""
         now = self._services.clock.seconds()
         self._events += 1
-        if self._last_event_at is None:
+        if self._events == 1:
             self._overdue.first_response_received()
             self._services.pool.first_event_received(
                 self.engine.id, now - self._sent_at
@@ -201,7 +225,11 @@
 
     def failed(self, failure: ResponseFailure) -> None:
         """Handle an incomplete response."""
-        if failure is not ResponseFailure.GARBLED:
+        if self._was_paused and failure in UNREAD_FAILURES:
+            self._finish()
+            self._listener.run_failed(UNREAD)
+            return
+        if failure not in (ResponseFailure.GARBLED, ResponseFailure.CUT):
             self._engine_failed()
         self._finish()
         self._listener.run_failed(failure.value)
--- a/notcharch/calls/engine_sender.py
+++ b/notcharch/calls/engine_sender.py
@@ -1,5 +1,6 @@
 """Sends calls to engines over persistent connections."""
 
+from functools import partial
 from typing import Protocol
 
 from twisted.internet.endpoints import TCP4ClientEndpoint
@@ -7,6 +8,7 @@
 from twisted.python.failure import Failure
 
 from notcharch.calls.interface import Engine
+from notcharch.http.buffered_bytes import BufferedBytes
 from notcharch.http.client import ClientConnection, ResponseListener
 from notcharch.http.idle_connections import IdleConnections
 from notcharch.http.messages import RequestHead
@@ -51,16 +53,36 @@
         if self.connection is not None:
             self.connection.abandon()
 
+    def pause_reading(self) -> None:
+        """Stop reading the response until `resume_reading`."""
+        if self.connection is not None:
+            self.connection.pause_reading()
+
+    def resume_reading(self) -> None:
+        """Continue to read the response."""
+        if self.connection is not None:
+            self.connection.resume_reading()
+
 
 class EngineSender:
     """Sends requests to engines, and pools their idle connections."""
 
-    def __init__(self, reactor: TimedReactor, local_address: str) -> None:
-        """Connect from a local address, if one is given."""
+    def __init__(
+        self,
+        reactor: TimedReactor,
+        local_address: str,
+        buffers: BufferedBytes | None = None,
+    ) -> None:
+        """Connect from a local address, if one is given.
+
+        `buffers` counts what engines have not read yet of requests.
+        """
         self._reactor = reactor
         self._bind = (local_address, 0) if local_address else None
         self._idle: dict[str, IdleConnections] = {}
-        self._factory = Factory.forProtocol(ClientConnection)
+        self._factory = Factory.forProtocol(
+            partial(ClientConnection, buffers or BufferedBytes())
+        )
         self._factory.noisy = False
 
     def send(
--- a/notcharch/calls/engines.py
+++ b/notcharch/calls/engines.py
@@ -277,6 +277,18 @@
             state.in_flight -= 1
             state.health.finished()
 
+    def reading_paused(self, engine_id: str) -> None:
+        """Expect no response of a call whose answer is not being read."""
+        state = self._states.get(engine_id)
+        if state is not None:
+            state.health.finished()
+
+    def reading_resumed(self, engine_id: str) -> None:
+        """Expect responses of a call again."""
+        state = self._states.get(engine_id)
+        if state is not None:
+            state.health.sent(self._clock.seconds())
+
     def response_received(
         self, engine_id: str, event_gap_seconds: float | None = None
     ) -> None:
--- a/notcharch/calls/reply.py
+++ b/notcharch/calls/reply.py
@@ -13,6 +13,9 @@
     def on_disconnect(self, callback: Callable[[], None]) -> None:
         """Set the callback for a caller that disconnects before the end."""
 
+    def watch_backlog(self, callback: Callable[[bool], None]) -> None:
+        """Set the callback for a caller that falls behind (True) or catches up (False)."""
+
     def begin(self, head: ResponseHead) -> None:
         """Relay the head of a stream."""
 
--- a/notcharch/explain/explanation.py
+++ b/notcharch/explain/explanation.py
@@ -23,6 +23,7 @@
     RequestMalformed,
     RequestWithoutRoute,
 )
+from notcharch.events.http import SlowReaderCut
 from notcharch.events.process import (
     DependencyLost,
     DependencyRegained,
@@ -272,6 +273,13 @@
 
 
 def _left(end: LogLine, own: Sequence[LogLine], context: Sequence[LogLine]) -> str:
+    for line in own:
+        if line.number == SlowReaderCut.number:
+            return (
+                f"cut after {end.text('seconds')} s while {end.text('phase')}: the "
+                f"caller had not read {line.text('buffered_bytes')} bytes, and the "
+                "daemon held too much for slow readers"
+            )
     return (
         f"the caller left after {end.text('seconds')} s while {end.text('phase')}"
         f"{_troubles(context)}"
--- /dev/null
+++ b/notcharch/http/buffered_bytes.py
@@ -0,0 +1,85 @@
+"""Bytes that connections buffer for slow peers: when to stop reading, whom to cut.
+
+A daemon has 128 MB on the smallest machine, and a caller that does not read costs the
+daemon whatever is written to it. Reading from the engine stops for a caller that is
+behind, so one connection holds little; the total is bounded by cutting connections.
+"""
+
+from collections.abc import Mapping
+from typing import Protocol, TypeVar
+
+CONNECTION_BYTES = 64 * 1024
+"""Bytes at which a connection is behind.
+
+It is many seconds of a stream of events, so a caller that reads at all stays below it.
+"""
+RESUME_BYTES = CONNECTION_BYTES // 2
+"""Bytes down to which a connection that was behind has to drain."""
+MEMORY_SHARE = 1 / 16
+"""Share of the memory limit that all connections may buffer together."""
+DEFAULT_TOTAL_BYTES = 8 * 1024 * 1024
+"""The total where the memory limit is unknown: that of a limit of 128 MB."""
+CUT_DOWN_SHARE = 7 / 8
+"""Share of the total that remains after a cut, so that not each write causes one."""
+
+
+class BufferHolder(Protocol):
+    """A connection that buffers bytes."""
+
+    def cut(self, buffered: int) -> None:
+        """Abort the connection, which holds more than most; must not call back."""
+
+
+Holder = TypeVar("Holder")
+
+
+def total_limit(memory_bytes: int) -> int:
+    """Return how many bytes all connections may buffer; 0 means an unknown limit."""
+    return int(memory_bytes * MEMORY_SHARE) or DEFAULT_TOTAL_BYTES
+
+
+def is_behind(was_behind: bool, buffered: int) -> bool:
+    """Return whether reading for a connection must stop or remain stopped."""
+    if was_behind:
+        return buffered > RESUME_BYTES
+    return buffered > CONNECTION_BYTES
+
+
+def holders_to_cut(buffered: Mapping[Holder, int], limit: int) -> list[Holder]:
+    """Return the holders of most bytes whose end brings the total within the limit."""
+    total = sum(buffered.values())
+    if total <= limit:
+        return []
+    chosen: list[Holder] = []
+    for holder, size in sorted(buffered.items(), key=lambda item: -item[1]):
+        if total <= limit * CUT_DOWN_SHARE:
+            break
+        chosen.append(holder)
+        total -= size
+    return chosen
+
+
+class BufferedBytes:
+    """Counts the bytes that connections buffer, and cuts some above the limit."""
+
+    def __init__(self, limit: int = DEFAULT_TOTAL_BYTES) -> None:
+        """Allow `limit` bytes in total."""
+        self._limit = limit
+        self._buffered: dict[BufferHolder, int] = {}
+        self.total = 0
+
+    def changed(self, holder: BufferHolder, buffered: int) -> None:
+        """Set what a connection buffers now; 0 when it is closed."""
+        self.total += buffered - self._buffered.get(holder, 0)
+        if buffered:
+            self._buffered[holder] = buffered
+        else:
+            self._buffered.pop(holder, None)
+        if self.total > self._limit:
+            self._cut()
+
+    def _cut(self) -> None:
+        for holder in holders_to_cut(self._buffered, self._limit):
+            size = self._buffered.pop(holder)
+            self.total -= size
+            holder.cut(size)
--- a/notcharch/http/client.py
+++ b/notcharch/http/client.py
@@ -6,11 +6,16 @@
 
 import h11
 from twisted.internet.error import ConnectionDone
-from twisted.internet.interfaces import ITCPTransport
 from twisted.internet.protocol import Protocol, connectionDone
 from twisted.python.failure import Failure
 
+from notcharch.events.event import emit
+from notcharch.events.http import SlowEngineCut
+from notcharch.http.buffered_bytes import BufferedBytes
 from notcharch.http.messages import Headers, RequestHead, ResponseHead
+from notcharch.http.metrics import READERS_CUT
+from notcharch.http.reactor import FlowControlledTransport
+from notcharch.http.send_buffer import SendBuffer
 
 SURPLUS_RESPONSE_LIMIT = 3
 """Responses to other requests after which the current request fails."""
@@ -23,6 +28,7 @@
     RESET = "connection reset"
     GARBLED = "bytes that are no answer"
     ABANDONED = "abandoned by this side"
+    CUT = "cut by this side, which buffered too much"
 
 
 class ResponseListener(Interface):
@@ -47,10 +53,13 @@
 class ClientConnection(Protocol):
     """A reusable connection to a server."""
 
-    transport: ITCPTransport
+    transport: FlowControlledTransport
 
-    def __init__(self) -> None:
-        """Start disconnected."""
+    def __init__(self, buffers: BufferedBytes | None = None) -> None:
+        """Start disconnected; `buffers` counts what all connections hold."""
+        self._buffers = buffers or BufferedBytes()
+        self._is_reading_paused = False
+        self._is_cut = False
         self._http = h11.Connection(h11.CLIENT)
         self._listener: ResponseListener | None = None
         self._request: h11.Request | None = None
@@ -68,8 +77,33 @@
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
         """Disable Nagle's algorithm, so that small requests are sent immediately."""
         self.transport.setTcpNoDelay(True)
+        self._out = SendBuffer(self.transport, self._on_buffer_change)
         self.is_reusable = True
 
+    def _on_buffer_change(self, buffered: int) -> None:
+        if not self._is_cut:
+            self._buffers.changed(self, buffered)
+
+    def cut(self, buffered: int) -> None:
+        """Abort the connection: of all connections it is among those that hold most."""
+        self._is_cut = True
+        READERS_CUT.labels("engine").inc()
+        emit(SlowEngineCut(self.transport.getPeer().host, buffered))
+        self.close()
+
+    def pause_reading(self) -> None:
+        """Stop reading the response until `resume_reading`."""
+        if self._listener is not None and not self._is_reading_paused:
+            self._is_reading_paused = True
+            self.transport.pauseProducing()
+
+    def resume_reading(self) -> None:
+        """Continue to read the response."""
+        if self._is_reading_paused:
+            self._is_reading_paused = False
+            if not self._is_disconnected:
+                self.transport.resumeProducing()
+
     def send(self, head: RequestHead, body: bytes, listener: ResponseListener) -> None:
         """Send a complete request; `listener` is called with the response."""
         self._listener = listener
@@ -86,7 +120,7 @@
         if body:
             parts.append(self._http.send(h11.Data(data=body)) or b"")
         parts.append(self._http.send(h11.EndOfMessage()) or b"")
-        self.transport.write(b"".join(parts))
+        self._out.write(b"".join(parts))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
         """Parse received bytes."""
@@ -154,6 +188,7 @@
 
     def _complete(self, listener: ResponseListener) -> None:
         self._listener = None
+        self.resume_reading()
         self.served += 1
         has_trailing_data = bool(self._http.trailing_data[0])
         is_received = self._http.their_state is h11.DONE
@@ -179,19 +214,25 @@
     def close(self) -> None:
         """Close the connection immediately."""
         self.is_reusable = False
+        self._is_reading_paused = False
         if not self._is_disconnected:
+            self._out.discard()
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
         """Complete or fail the request in flight."""
         self._is_disconnected = True
         self.is_reusable = False
+        self._out.discard()
         if self._listener is not None:
             self._disconnected_in_flight(reason.check(ConnectionDone) is not None)
         if self.on_disconnect is not None:
             self.on_disconnect(self)
 
     def _disconnected_in_flight(self, is_clean: bool) -> None:
+        if self._is_cut:
+            self._fail(ResponseFailure.CUT)
+            return
         if not is_clean:
             self._fail(ResponseFailure.RESET)
             return
--- /dev/null
+++ b/notcharch/http/metrics.py
@@ -0,0 +1,16 @@
+"""Metrics of HTTP connections."""
+
+from prometheus_client import Counter, Gauge
+
+BUFFERED_BYTES = Gauge(
+    "notcharch_http_buffered_bytes", "Bytes that wait for slow callers and engines"
+)
+READERS_STOPPED = Counter(
+    "notcharch_http_readers_stopped",
+    "Times that reading for a caller stopped because it was behind",
+)
+READERS_CUT = Counter(
+    "notcharch_http_readers_cut",
+    "Connections cut because all together buffered too much",
+    ["peer"],
+)
--- a/notcharch/http/server.py
+++ b/notcharch/http/server.py
@@ -5,13 +5,21 @@
 
 import h11
 import msgspec
-from twisted.internet.interfaces import IDelayedCall, IReactorTime, ITCPTransport
+from twisted.internet.interfaces import IDelayedCall, IReactorTime
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
+from notcharch.events.event import emit
+from notcharch.events.http import SlowReaderCut
+from notcharch.http.buffered_bytes import CONNECTION_BYTES, BufferedBytes, is_behind
 from notcharch.http.messages import Headers, RequestHead
+from notcharch.http.metrics import READERS_CUT, READERS_STOPPED
+from notcharch.http.reactor import FlowControlledTransport
+from notcharch.http.send_buffer import SendBuffer
 
 JSON_TYPE = (b"content-type", b"application/json")
+PIPELINED_BYTES = CONNECTION_BYTES
+"""Bytes of later requests beyond which reading stops while one is processed."""
 
 
 class ServerLimits(msgspec.Struct, frozen=True):
@@ -51,9 +59,23 @@
         """Clock seconds at which the head was read."""
         self.on_disconnect: Callable[[], None] | None = None
         """Called once if the client disconnects before the response is complete."""
+        self._on_backlog: Callable[[bool], None] | None = None
+        self.id = ""
+        """The request's id in log lines; empty if it has none or is not read yet."""
         self.is_started = False
         self.is_over = False
 
+    def watch_backlog(self, callback: Callable[[bool], None]) -> None:
+        """Call `callback` when the client falls behind (True) or has caught up (False)."""
+        self._on_backlog = callback
+        if self._connection.is_behind:
+            callback(True)
+
+    def backlog_changed(self, is_client_behind: bool) -> None:
+        """Notify the request that its client has fallen behind or caught up."""
+        if self._on_backlog is not None and not self.is_over:
+            self._on_backlog(is_client_behind)
+
     def respond(self, status: int, headers: Headers, body: bytes = b"") -> None:
         """Send a complete response."""
         if self.is_over:
@@ -91,11 +113,17 @@
 class ServerConnection(Protocol):
     """A connection from a client."""
 
-    transport: ITCPTransport
+    transport: FlowControlledTransport
 
-    def __init__(self, handler: RequestHandler, clock: IReactorTime) -> None:
-        """Start idle."""
+    def __init__(
+        self,
+        handler: RequestHandler,
+        clock: IReactorTime,
+        buffers: BufferedBytes | None = None,
+    ) -> None:
+        """Start idle; `buffers` counts what all connections hold."""
         self._handler = handler
+        self._buffers = buffers or BufferedBytes()
         self._clock = clock
         self._limits = handler.limits()
         self._http = h11.Connection(
@@ -108,10 +136,17 @@
         self._is_disconnected = False
         self._timer: IDelayedCall | None = None
         self._idle_since = 0.0
+        self._is_reading_paused = False
+        self._is_cut = False
+        self._inbound = 0
+        """Bytes received that belong to no complete request."""
+        self.is_behind = False
+        """Whether the client reads more slowly than it is sent to."""
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
         """Disable Nagle's algorithm and start the idle timeout."""
         self.transport.setTcpNoDelay(True)
+        self._out = SendBuffer(self.transport, self._on_buffer_change)
         self._idle_since = self._clock.seconds()
         self._schedule_check(self._limits.idle_seconds)
 
@@ -133,7 +168,7 @@
         if remaining > 0:
             self._schedule_check(remaining)
             return
-        self.transport.loseConnection()
+        self._out.lose_connection()
 
     @property
     def is_idle(self) -> bool:
@@ -143,7 +178,7 @@
     def close_if_idle(self) -> None:
         """Close the connection if it has no request in flight."""
         if not self._is_disconnected and self.is_idle:
-            self.transport.loseConnection()
+            self._out.lose_connection()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
         """Parse received bytes."""
@@ -155,10 +190,65 @@
                 )
         self._http.receive_data(data)
         self._read_events()
+        self._update_inbound()
+
+    def _update_inbound(self) -> None:
+        """Count the bytes of incomplete requests, and stop reading if many wait."""
+        waiting = len(self._http.trailing_data[0])
+        must_wait = self._is_responding or self.is_behind
+        if must_wait and waiting > PIPELINED_BYTES and not self._is_reading_paused:
+            self._is_reading_paused = True
+            self.transport.pauseProducing()
+        inbound = waiting + self._body_bytes
+        if inbound != self._inbound:
+            self._inbound = inbound
+            self._count_buffered()
+
+    def _resume_reading(self) -> None:
+        if self._is_reading_paused and not self._is_disconnected:
+            self._is_reading_paused = False
+            self.transport.resumeProducing()
+
+    def _on_buffer_change(self, _buffered: int) -> None:
+        """Count the bytes, and notify the request if its client is behind or not."""
+        self._count_buffered()
+        was_behind = self.is_behind
+        self.is_behind = is_behind(was_behind, self._out.buffered)
+        if self.is_behind == was_behind or self._is_disconnected or self._is_cut:
+            return
+        if self.is_behind:
+            READERS_STOPPED.inc()
+        if self._exchange is not None:
+            self._exchange.backlog_changed(self.is_behind)
+        if not self.is_behind:
+            self._clock.callLater(0, self._read_next)
+
+    def _count_buffered(self) -> None:
+        if not self._is_cut and not self._is_disconnected:
+            self._buffers.changed(self, self._out.buffered + self._inbound)
+
+    def cut(self, buffered: int) -> None:
+        """Abort the connection: of all connections it is among those that hold most."""
+        self._is_cut = True
+        READERS_CUT.labels("caller").inc()
+        emit(SlowReaderCut(self._exchange.id if self._exchange else "", buffered))
+        self._out.discard()
+        self.transport.abortConnection()
+
+    def _read_next(self) -> None:
+        """Read requests that waited for the end of the one before or for the client."""
+        self._resume_reading()
+        self._read_events()
+        self._update_inbound()
+
+    @property
+    def _can_read(self) -> bool:
+        is_open = not self._is_disconnected and not self._is_cut
+        return is_open and not self._is_responding and not self.is_behind
 
     def _read_events(self) -> None:
         """Handle events until a request is complete or needs more bytes."""
-        while not self._is_responding and not self._is_disconnected:
+        while self._can_read:
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as error:
@@ -202,6 +292,7 @@
             return
         exchange.body = b"".join(self._body)
         self._body = []
+        self._body_bytes = 0
         self._is_responding = True
         self._handler.handle(exchange)
 
@@ -214,7 +305,7 @@
         self.send(h11.EndOfMessage())
         self._clear_exchange()
         self._is_responding = True
-        self.transport.loseConnection()
+        self._out.lose_connection()
 
     def send_head(self, status: int, headers: Headers) -> None:
         """Send the head of a response."""
@@ -228,7 +319,7 @@
             return
         data = self._http.send(event)
         if data:
-            self.transport.write(data)
+            self._out.write(data)
 
     def end_exchange(self) -> None:
         """Complete the response, then read the next request or close."""
@@ -241,16 +332,18 @@
             return
         if self._http.our_state is h11.MUST_CLOSE:
             self._is_responding = True
-            self.transport.loseConnection()
+            self._out.lose_connection()
             return
         self._limits = self._handler.limits()
         self._idle_since = self._clock.seconds()
         self._http.start_next_cycle()
         # Synchronous handlers must not recurse once per pipelined request.
         if self._http.trailing_data[0]:
-            self._clock.callLater(0, self._read_events)
+            self._clock.callLater(0, self._read_next)
 
     def _clear_exchange(self) -> None:
+        self._body = []
+        self._body_bytes = 0
         if self._exchange is not None:
             self._exchange = None
             self._handler.count(-1)
@@ -260,11 +353,14 @@
         self._clear_exchange()
         self._is_responding = True
         if not self._is_disconnected:
+            self._out.discard()
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
         """Notify the request in flight that its client disconnected."""
         self._is_disconnected = True
+        self._out.discard()
+        self._buffers.changed(self, 0)
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         exchange = self._exchange
@@ -281,15 +377,23 @@
 
     noisy = False
 
-    def __init__(self, handler: RequestHandler, clock: IReactorTime) -> None:
-        """Pass requests to a handler."""
+    def __init__(
+        self,
+        handler: RequestHandler,
+        clock: IReactorTime,
+        buffers: BufferedBytes | None = None,
+    ) -> None:
+        """Pass requests to a handler; `buffers` counts what the connections hold."""
         self._handler = handler
+        self._buffers = buffers or BufferedBytes()
         self._clock = clock
         self._open: set[ServerConnection] = set()
 
     def buildProtocol(self, addr: object) -> ServerConnection:  # noqa: N802
         """Create a tracked connection."""
-        connection = TrackedConnection(self._handler, self._clock, self._open)
+        connection = TrackedConnection(
+            self._handler, self._clock, self._open, self._buffers
+        )
         self._open.add(connection)
         return connection
 
@@ -307,9 +411,10 @@
         handler: RequestHandler,
         clock: IReactorTime,
         open_connections: set[ServerConnection],
+        buffers: BufferedBytes,
     ) -> None:
         """Create a connection that removes itself from `open_connections`."""
-        super().__init__(handler, clock)
+        super().__init__(handler, clock, buffers)
         self._open_connections = open_connections
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
--- a/notcharch/platform/ingress.py
+++ b/notcharch/platform/ingress.py
@@ -46,6 +46,10 @@
         """Call `callback` if the caller disconnects before the response ends."""
         self._exchange.on_disconnect = callback
 
+    def watch_backlog(self, callback: Callable[[bool], None]) -> None:
+        """Call `callback` when the caller falls behind or has caught up."""
+        self._exchange.watch_backlog(callback)
+
     def begin(self, head: ResponseHead) -> None:
         """Forward the head of a streamed response."""
         self._exchange.start(head.status, response_headers(head))
@@ -117,7 +121,7 @@
         head = exchange.head
         id = head.get(REQUEST_ID) or b""
         reply = ExchangeReply(exchange, id)
-        name = id.decode("latin-1")
+        name = exchange.id = id.decode("latin-1")
         host = (head.get(b"host") or b"").decode("latin-1")
         path = head.target.partition(b"?")[0].decode("latin-1")
         router = self.router
--- a/notcharch/platform/process.py
+++ b/notcharch/platform/process.py
@@ -36,7 +36,9 @@
     SettingsRead,
 )
 from notcharch.events.tenants import LimitReached
+from notcharch.http.buffered_bytes import BufferedBytes, total_limit
 from notcharch.http.drain import Drain, DrainTimes
+from notcharch.http.metrics import BUFFERED_BYTES
 from notcharch.http.requester import Requester
 from notcharch.http.server import ServerFactory
 from notcharch.journal.known_daemons import KnownDaemons
@@ -139,7 +141,9 @@
                 KnownDaemons(settings.machine, self._accounts.directory),
             ),
         )
-        sender = EngineSender(reactor, settings.host)
+        buffers = BufferedBytes(total_limit(settings.memory_bytes))
+        BUFFERED_BYTES.set_function(lambda: buffers.total)
+        sender = EngineSender(reactor, settings.host, buffers)
         self._freshness = TableFreshness(settings.revoke_seconds)
         self._check = CallerCheck(reactor, self._freshness)
         self._ingress = Ingress(
@@ -153,7 +157,7 @@
             ),
             self._check,
         )
-        self._factory = ServerFactory(self._ingress, reactor)
+        self._factory = ServerFactory(self._ingress, reactor, buffers)
         self._tables = PlatformTables(
             platform_store,
             reactor,
--- a/tests/unit/calls/world.py
+++ b/tests/unit/calls/world.py
@@ -63,10 +63,17 @@
         self.body = body
         self.listener = listener
         self.is_abandoned = False
+        self.is_paused = False
 
     def abandon(self) -> None:
         self.is_abandoned = True
 
+    def pause_reading(self) -> None:
+        self.is_paused = True
+
+    def resume_reading(self) -> None:
+        self.is_paused = False
+
     def header(self, name: bytes):
         return self.head.get(name)
 
@@ -118,6 +125,9 @@
     def on_disconnect(self, callback):
         self.disconnect = callback
 
+    def watch_backlog(self, callback):
+        self.backlog = callback
+
     def begin(self, head):
         assert self.head is None
         self.head = head
--- a/tests/unit/explain/test_explanation.py
+++ b/tests/unit/explain/test_explanation.py
@@ -21,6 +21,7 @@
     RequestMalformed,
     RequestWithoutRoute,
 )
+from notcharch.events.http import SlowReaderCut
 from notcharch.events.process import (
     DependencyLost,
     LinesDropped,
@@ -238,3 +239,12 @@
         line(2.0, "m1", drains("z-9")),
     )
     assert told.cause == "its engines are cold; 0 engines tried of 3 known"
+
+
+def test_a_caller_that_was_cut_for_reading_slowly_has_not_left_by_itself():
+    told = cause(
+        line(0.4, "a", SlowReaderCut("r", 70000)),
+        line(0.5, "a", CallerLeft("r", "p", "at engine", "e", 4, 0.5)),
+    )
+    assert told.is_explained
+    assert "had not read 70000 bytes" in told.cause
--- a/tests/unit/http/pipe.py
+++ b/tests/unit/http/pipe.py
@@ -13,6 +13,8 @@
     """A transport that records written data and how it was closed."""
 
     is_aborted = False
+    sent = b""
+    """What the peer has read by `drain`."""
 
     def setTcpNoDelay(self, enabled) -> None:  # noqa: N802
         self.no_delay = enabled
@@ -20,6 +22,14 @@
     def abortConnection(self) -> None:  # noqa: N802
         self.is_aborted = True
 
+    def drain(self) -> None:
+        """Let the peer read everything, as Twisted does with a pull producer."""
+        while self.value():
+            self.sent += self.value()
+            self.clear()
+            if self.producer is not None:
+                self.producer.resumeProducing()
+
     @property
     def is_closed(self) -> bool:
         return self.is_aborted or self.disconnecting
