--- a/notcharch/accounts/account_group.py
+++ b/notcharch/accounts/account_group.py
@@ -9,6 +9,7 @@
 
 from notcharch.accounts.admission import AccountAdmission
 from notcharch.accounts.limited_tenants import LimitContext
+from notcharch.accounts.outage_refusals import OutageRefusals
 from notcharch.accounts.owned_partitions import OwnedPartitions
 from notcharch.accounts.owner_requests import OwnerRequests
 from notcharch.journal.group import GroupMember
@@ -88,6 +89,7 @@
             role.name,
             partitioning=role.partitioning,
             requests_peer_views=Mechanism.PEER_VIEWS in mechanisms,
+            recovery=services.recovery,
         )
         self._owned_partitions = OwnedPartitions(
             services.log,
@@ -118,6 +120,7 @@
             min_lease_seconds=settings.min_lease_seconds,
             on_assignment=self._owned_partitions.on_assignment,
             on_recovery=services.recovery.recovered if has_signal else lambda: None,
+            outage=services.recovery.outage,
         )
         self.owners = OwnerRequests(
             services.clock,
@@ -125,11 +128,19 @@
             self.directory,
             role.partitioning,
             lambda: self._member.unanswered_seconds,
+            self._outage_refusals(services),
         )
         self.admission = AccountAdmission(
             self.owners, services.suspicions, other_groups
         )
 
+    @staticmethod
+    def _outage_refusals(services: GroupServices) -> OutageRefusals | None:
+        recovery = services.recovery
+        if recovery.outage is None:
+            return None
+        return OutageRefusals(services.clock, services.random, recovery)
+
     def _lease(self) -> Lease:
         member = self._member
         return Lease(
--- a/notcharch/accounts/admission.py
+++ b/notcharch/accounts/admission.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 
 from notcharch.accounts.call_account import CallAccount
-from notcharch.accounts.messages import TurnAdmitted, TurnRefused
+from notcharch.accounts.messages import NotOwner, TurnAdmitted, TurnRefused
 from notcharch.accounts.owner_requests import OwnerRequests
 from notcharch.accounts.request_retry import request_until_decided
 from notcharch.accounts.turn_adoption import Adoption, adopt_turn
@@ -66,6 +66,7 @@
             account.call,
             lambda: listener.awaits_admission,
             lambda: self._request_once(account),
+            gives_up=self._owners.gives_up,
         )
         if isinstance(decision, Refusal):
             listener.refused(decision)
@@ -96,6 +97,11 @@
         if isinstance(reply, TurnAdmitted):
             self._suspicions.merge(reply.suspicions, clock.seconds())
             return account.complete_body(reply)
+        if isinstance(reply, NotOwner) and self._owners.outages is not None:
+            account.never_ran()  # an earlier request may reserve tokens later
+            return self._owners.outages.refusal(
+                account.call, reply.store_outage_seconds, is_owners_decision=True
+            )
         if not isinstance(reply, TurnRefused):
             return None
         if reply.is_spent:
--- a/notcharch/accounts/messages.py
+++ b/notcharch/accounts/messages.py
@@ -126,6 +126,9 @@
 
     owner: str = ""
     """The owner as known by this daemon, in the text form of `OwnerName`."""
+    store_outage_seconds: float = 0.0
+    """If positive, this daemon is the owner, and can't decide because the store has been
+    down for so long. Older builds take it as any other reply without a decision."""
 
 
 ACCOUNT_MESSAGES: tuple[type[Message], ...] = (
--- a/notcharch/accounts/metrics.py
+++ b/notcharch/accounts/metrics.py
@@ -13,6 +13,15 @@
 UNANSWERED = Counter(
     "notcharch_account_unanswered", "Questions that no owner decided at once"
 )
+REFUSED_IN_OUTAGE = Counter(
+    "notcharch_account_refused_in_outage",
+    "Calls refused at once because their admission needs the store, which is down",
+)
+OUTAGE_RETRY_SECONDS = Histogram(
+    "notcharch_account_outage_retry_seconds",
+    "Retry delays that these calls were given",
+    buckets=(0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 2.0, 4.0),
+)
 LIMIT_WAIT_SECONDS = Histogram(
     "notcharch_limit_wait_seconds",
     "Waits of calls for which a tenant's limit had room in a moment",
--- a/notcharch/accounts/owner_requests.py
+++ b/notcharch/accounts/owner_requests.py
@@ -8,6 +8,7 @@
 from twisted.internet.interfaces import IReactorTime
 
 from notcharch.accounts.messages import NotOwner
+from notcharch.accounts.outage_refusals import OutageRefusals
 from notcharch.calls.interface import STATE_UNKNOWN, OpaqueCall, Refusal
 from notcharch.calls.retry_after import with_retry_after
 from notcharch.errors import Problem
@@ -31,11 +32,16 @@
     partitioning: Partitioning
     service_silence: Callable[[], float] = lambda: 0.0
     """Seconds since the log service stopped responding to this daemon; 0 if it responds."""
+    outages: OutageRefusals | None = None
+    """Refuses calls early while the log service is down; None where they wait."""
 
     def send_request(
         self, partition: int, message: Message
     ) -> "Deferred[Message | None]":
-        """Send a request to a partition's owner; fires with None if no owner replies."""
+        """Send a request to a partition's owner; fires with None if no owner decides.
+
+        It fires with `NotOwner` if the owner can't decide because the store is down.
+        """
         owner = self.directory.owner(partition)
         if owner is None:
             self.directory.suspect_stale()
@@ -53,12 +59,29 @@
         if isinstance(message, NotOwner):
             self.directory.suspect_stale()
             self.directory.apply_hint(partition, message.owner)
-            return None
+            return message if self._is_outage_confirmed(message) else None
         return message
 
+    def _is_outage_confirmed(self, reply: NotOwner) -> bool:
+        """Return whether the store is down both here and for the owner.
+
+        A daemon that alone can't reach the store may have lost its partitions to another
+        daemon, which a later request finds.
+        """
+        has_outage = self.outages is not None and self.outages.known_seconds() > 0.0
+        return has_outage and reply.store_outage_seconds > 0.0
+
+    def gives_up(self, requests: int) -> bool:
+        """Return whether to ask no more owner, after so many requests in vain."""
+        return self.outages is not None and self.outages.gives_up(requests)
+
     def undecided_refusal(self, call: OpaqueCall) -> Refusal:
         """Return the refusal of a call that no owner decided in time."""
         now = self.clock.seconds()
+        if self.outages is not None and self.outages.known_seconds():
+            return self.outages.refusal(
+                call, self.outages.known_seconds(), is_owners_decision=False
+            )
         return with_retry_after(STATE_UNKNOWN, self.service_silence(), call, now)
 
     def send_notice(self, partition: int, message: Message) -> None:
--- a/notcharch/accounts/partition.py
+++ b/notcharch/accounts/partition.py
@@ -17,6 +17,7 @@
     AdmitTurn,
     FindTurn,
     KeepTurn,
+    NotOwner,
     SettleCall,
     TurnAdmitted,
     TurnFound,
@@ -84,6 +85,7 @@
             on_fenced=self._handle_fenced,
             recovery=recovery,
         )
+        self._recovery = recovery
         self._writer = self._journal.writer
         self.is_serving = False
         self._takeover_started_at = clock.seconds()
@@ -191,9 +193,20 @@
         self._writer.close()
         self._resume_waiters()
 
+    @property
+    def _is_blocked(self) -> bool:
+        """Whether this owner can't append or confirm: the store is known to be down."""
+        return self._recovery.known_outage_seconds() > 0.0
+
+    def _undecided(self) -> NotOwner:
+        """Return the reply without a decision, which tells of an outage of the store."""
+        seconds = self._recovery.known_outage_seconds()
+        is_owner = seconds > 0.0 and self._writer.is_open
+        return NotOwner(store_outage_seconds=seconds) if is_owner else NOT_OWNER
+
     @inlineCallbacks
     def _wait_until_serving(self) -> Generator["Deferred[Any]", Any, bool]:
-        if not self.is_serving and self._writer.is_open:
+        if not self.is_serving and self._writer.is_open and not self._is_blocked:
             waiter: Deferred[None] = Deferred()
             self._waiters.append(waiter)
             yield waiter
@@ -207,16 +220,20 @@
         ledger = self._ledger
         ledger.keep_seconds = max(ledger.keep_seconds, request.keep_seconds)
         if not (yield self._wait_until_serving()):
-            return NOT_OWNER
+            return self._undecided()
         transcript: Transcript | None = Transcript("", b"")
         if request.previous:
             transcript = self._ledger.turns.transcript(request.previous, request.known)
             self._ledger.turns.touch(request.previous, self._clock.seconds())
+            if transcript is None and self._is_blocked:
+                return self._undecided()
             if transcript is None:
                 is_certain = yield self._is_still_owner()
                 return TurnRefused(is_spent=False) if is_certain else NOT_OWNER
         verdict = self._reserve(request)
         while verdict is Verdict.NEEDS_BOUND:
+            if self._is_blocked:
+                return self._undecided()
             is_raised = yield self._bound_writes.write(
                 request.program, lambda: self._write_bound(request)
             )
@@ -242,7 +259,9 @@
     ) -> Generator["Deferred[Any]", Any, Message]:
         """Decide whether a tenant's limit has capacity for a call."""
         is_serving = yield self._wait_until_serving()
-        return self._limited_tenants.decide(request) if is_serving else NOT_OWNER
+        if not is_serving:
+            return self._undecided()
+        return self._limited_tenants.decide(request)
 
     def _log_budget_refusal(self, message: AdmitTurn) -> None:
         program = self._ledger.program(message.program, self._clock.seconds())
@@ -303,13 +322,15 @@
     def find_turn(self, request: FindTurn) -> Generator["Deferred[Any]", Any, Message]:
         """Look up a turn of any program."""
         if not (yield self._wait_until_serving()):
-            return NOT_OWNER
+            return self._undecided()
         found = self._ledger.turns.transcript(request.turn)
         self._ledger.turns.touch(request.turn, self._clock.seconds())
         if found is not None:
             return TurnFound(found.text)
         if not request.must_be_certain:
             return TurnMissing()
+        if self._is_blocked:
+            return self._undecided()
         is_certain = yield self._is_still_owner()
         return TurnMissing() if is_certain else NOT_OWNER
 
--- a/notcharch/accounts/request_retry.py
+++ b/notcharch/accounts/request_retry.py
@@ -38,14 +38,21 @@
     call: OpaqueCall,
     is_caller_waiting: Callable[[], bool],
     request: Callable[[], "Deferred[Decision | None]"],
+    *,
+    gives_up: Callable[[int], bool] = lambda _: False,
 ) -> Generator["Deferred[Any]", Any, Decision | None]:
-    """Return the decision; None if there is none in time or the caller disconnected."""
+    """Return the decision; None if there is none in time or the caller disconnected.
+
+    `gives_up` returns whether to ask no more, by the number of requests so far.
+    """
     until = call.arrived + max_decision_wait_seconds(call)
+    requests = 0
     while is_caller_waiting():
         decision: Decision | None = yield request()
         if decision is not None:
             return decision
-        if clock.seconds() >= until:
+        requests += 1
+        if clock.seconds() >= until or gives_up(requests):
             break
         yield deferLater(clock, RETRY_INTERVAL_SECONDS, lambda: None)
     return None
--- a/notcharch/explain/explanation.py
+++ b/notcharch/explain/explanation.py
@@ -24,6 +24,11 @@
     RequestWithoutRoute,
 )
 from notcharch.events.http import SlowReaderCut
+from notcharch.events.outages import (
+    RefusedInOutage,
+    StoreOutageKnown,
+    StoreOutageOver,
+)
 from notcharch.events.process import (
     DependencyLost,
     DependencyRegained,
@@ -64,6 +69,8 @@
     LinesDropped.number,
     ProcessPaused.number,
     KeysUnsure.number,
+    StoreOutageKnown.number,
+    StoreOutageOver.number,
 )
 SPENT = 402
 OVER_LIMIT = 429
@@ -229,6 +236,15 @@
 def _unadmitted(
     end: LogLine, own: Sequence[LogLine], context: Sequence[LogLine]
 ) -> str:
+    for line in own:
+        if line.number == RefusedInOutage.number:
+            is_owners = bool(line.fields.get("is_owners_decision"))
+            needs = "its admission needs an append" if is_owners else "no owner decided"
+            return (
+                f"the store had been down for {line.text('outage_seconds')} s and "
+                f"{needs}; the caller was told to retry after "
+                f"{line.text('retry_after_seconds')} s"
+            )
     asked = [line for line in own if line.number == OwnerUnanswered.number]
     if not asked:
         return f"not admitted within {end.text('seconds')} s{_troubles(context)}"
@@ -298,6 +314,8 @@
                 f"{line.machine} could not reach {line.text('dependency')} "
                 f"({line.text('fault')})"
             )
+        elif line.number == StoreOutageKnown.number:
+            told.append(f"{line.machine} knew the store to be down")
         elif line.number == PartitionGivenUp.number:
             told.append(
                 f"{line.machine} gave up partition {line.text('partition')} "
--- a/notcharch/journal/group.py
+++ b/notcharch/journal/group.py
@@ -8,6 +8,8 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.internet.interfaces import IDelayedCall, IReactorTime
 
+from notcharch.events.event import emit
+from notcharch.events.outages import StoreOutageKnown, StoreOutageOver
 from notcharch.journal.interface import (
     GroupName,
     LogFault,
@@ -15,6 +17,8 @@
     LogService,
     Membership,
 )
+from notcharch.journal.metrics import OUTAGE_SECONDS, OUTAGES
+from notcharch.journal.store_outage import StoreOutage
 
 HEARTBEAT_SECONDS = 0.35
 """Under a third of the lease, so that two consecutive heartbeats may fail."""
@@ -29,6 +33,10 @@
 """
 
 
+OUTAGE_FAULTS = (LogFault.NOT_DONE, LogFault.UNKNOWN)
+"""Faults of heartbeats that the service did not answer, or refused for the moment."""
+
+
 class GroupMember:
     """Renews a group membership by heartbeats and reports the assigned partitions."""
 
@@ -42,11 +50,15 @@
         min_lease_seconds: float,
         on_assignment: Callable[[Membership], None],
         on_recovery: Callable[[], None] = lambda: None,
+        outage: StoreOutage | None = None,
     ) -> None:
         """Call `on_assignment` after each successful heartbeat.
 
-        `on_recovery` is called before it if the previous heartbeat failed.
+        `on_recovery` is called before it if the previous heartbeat failed. `outage` is
+        told of each heartbeat.
         """
+        self._outage = outage
+        self._is_outage_logged = False
         self._service = service
         self._clock = clock
         self._name = name
@@ -125,6 +137,7 @@
                 self._next_delay(response), self.heartbeat
             )
         had_failed, self._has_failed = self._has_failed, isinstance(response, Err)
+        self._report_to_outage(response)
         if not isinstance(response, Err):
             if self.expired_seconds > 0.0:
                 self.lease_held_since = self._clock.seconds()
@@ -133,6 +146,26 @@
                 self._on_recovery()
             self._on_assignment(response.ok_value)
 
+    def _report_to_outage(self, response: Result[Membership, LogProblem]) -> None:
+        """Record whether the service answered, and log an outage that is known or over."""
+        if self._outage is None:
+            return
+        now = self._clock.seconds()
+        if isinstance(response, Err) and response.err_value.fault in OUTAGE_FAULTS:
+            sent_at = now if self._confirmed_at is None else self._confirmed_at
+            self._outage.failed(sent_at + HEARTBEAT_SECONDS, now)
+            seconds = self._outage.known_seconds(now)
+            if seconds and not self._is_outage_logged:
+                self._is_outage_logged = True
+                OUTAGES.inc()
+                emit(StoreOutageKnown(self._name.group, round(seconds, 3)))
+            return
+        seconds = self._outage.answered(now)
+        if self._is_outage_logged:
+            self._is_outage_logged = False
+            OUTAGE_SECONDS.inc(seconds)
+            emit(StoreOutageOver(self._name.group, round(seconds, 3)))
+
     def _next_delay(self, response: Result[Membership, LogProblem]) -> float:
         """Return the delay until the next heartbeat; store the group's generation.
 
--- a/notcharch/journal/owner_directory.py
+++ b/notcharch/journal/owner_directory.py
@@ -17,6 +17,7 @@
 from notcharch.journal.owner_messages import AskOwners, OwnersSeen
 from notcharch.journal.owner_names import OwnerName, parse_owner_name
 from notcharch.journal.partitioning import Partitioning
+from notcharch.journal.recovery_signal import HELD_SECONDS, RecoverySignal
 from notcharch.values.identifiers import DaemonName, Member
 from notcharch.wire.messages.base import Message
 from notcharch.wire.peers import PeerNetwork
@@ -54,12 +55,16 @@
         *,
         partitioning: Partitioning,
         requests_peer_views: bool = False,
+        recovery: RecoverySignal | None = None,
     ) -> None:
         """Start with an empty view.
 
+        `recovery` knows of outages of the log service, in which refreshes are rare.
+
         With `requests_peer_views`, a peer's view is requested while the log service
         fails. The network must then support the messages of `owner_messages`.
         """
+        self._recovery = recovery or RecoverySignal(clock)
         self._random = random
         self._partitioning = partitioning
         self._service = service
@@ -112,14 +117,19 @@
             self._is_requesting and since >= PEER_REQUEST_DELAY_SECONDS
         ):
             self._request_peer_view()
-        pause = (
-            REQUEST_TIMEOUT_SECONDS
-            if self._is_requesting
-            else MIN_REFRESH_INTERVAL_SECONDS
-        )
-        if since >= pause:
+        if since >= self._min_refresh_interval:
             self._refresh()
 
+    @property
+    def _min_refresh_interval(self) -> float:
+        """Seconds between refreshes of a view that is suspected to be stale."""
+        if self._recovery.holds_calls:
+            return HELD_SECONDS
+        is_backing_off = self._has_failed and self._recovery.outage is not None
+        if self._is_requesting or is_backing_off:
+            return REQUEST_TIMEOUT_SECONDS
+        return MIN_REFRESH_INTERVAL_SECONDS
+
     def apply_hint(self, partition: int, member: str) -> None:
         """Use a peer's statement of a partition's owner until the next refresh."""
         owner = parse_owner_name(member)
@@ -140,12 +150,10 @@
         while self._is_running:
             if not self._is_requesting:
                 yield self._refresh()
-            pause = (
-                REFRESH_INTERVAL_SECONDS
-                if self._owners
-                else MIN_REFRESH_INTERVAL_SECONDS
-            )
-            yield deferLater(self._clock, pause, lambda: None)
+            if self._owners:
+                yield deferLater(self._clock, REFRESH_INTERVAL_SECONDS, lambda: None)
+            else:
+                yield self._recovery.pause(MIN_REFRESH_INTERVAL_SECONDS)
 
     @inlineCallbacks
     def _refresh(self) -> Generator["Deferred[Any]", Any, None]:
--- a/notcharch/journal/partition_journal.py
+++ b/notcharch/journal/partition_journal.py
@@ -8,7 +8,6 @@
 from result import Err, Result
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.internet.interfaces import IReactorTime
-from twisted.internet.task import deferLater
 
 from notcharch.journal.interface import (
     LogFault,
@@ -60,6 +59,7 @@
         """Build the writer; `on_fenced` is called once when a higher epoch writes."""
         self._service = service
         self._clock = clock
+        self._recovery = recovery or RecoverySignal(clock)
         self._log_partition = assignment.log
         self._target = target
         self.writer = PartitionWriter(
@@ -69,7 +69,7 @@
             assignment.log,
             epoch=assignment.epoch,
             on_fenced=on_fenced,
-            recovery=recovery,
+            recovery=self._recovery,
         )
         self.records = 0
         """Number of replayed records."""
@@ -107,7 +107,7 @@
             self._next_offset = problem.offset
             self._target.skip_to(problem.offset)
             return
-        yield deferLater(self._clock, READ_RETRY_SECONDS, lambda: None)
+        yield self._recovery.pause(READ_RETRY_SECONDS)
 
     def close(self) -> None:
         """Stop writing."""
--- a/notcharch/journal/recovery_signal.py
+++ b/notcharch/journal/recovery_signal.py
@@ -12,6 +12,7 @@
 from twisted.internet.interfaces import IDelayedCall, IReactorTime
 
 from notcharch.journal.interface import LogFault, LogProblem
+from notcharch.journal.store_outage import StoreOutage
 
 Response = TypeVar("Response")
 
@@ -19,12 +20,24 @@
 """Minimum age at which a pending call counts as failed after a recovery."""
 
 
+HELD_SECONDS = 2.0
+"""Delay of the retries of a call in an outage, unless a recovery ends it.
+
+It is no shorter than a long poll, so that followers make no more calls than usual.
+"""
+
+
 class RecoverySignal:
     """Ends waits early when the log service is available again."""
 
-    def __init__(self, clock: IReactorTime) -> None:
-        """Start with an available service."""
+    def __init__(self, clock: IReactorTime, outage: StoreOutage | None = None) -> None:
+        """Start with an available service.
+
+        With `outage`, retries wait for a recovery while it holds calls. Heartbeats must
+        then report to both.
+        """
         self._clock = clock
+        self.outage = outage
         self._waiting: list[Deferred[None]] = []
         self.recovery_count = 0
 
@@ -35,8 +48,21 @@
         for deferred in waiting:
             deferred.callback(None)
 
+    @property
+    def holds_calls(self) -> bool:
+        """Whether calls wait for a recovery, since the heartbeats fail."""
+        return self.outage is not None and self.outage.holds_calls
+
+    def known_outage_seconds(self) -> float:
+        """Return how long the service has been down; 0 if it is not known to be."""
+        if self.outage is None:
+            return 0.0
+        return self.outage.known_seconds(self._clock.seconds())
+
     def pause(self, seconds: float) -> "Deferred[None]":
         """Return a Deferred that fires after a delay or at a recovery."""
+        if self.holds_calls:
+            seconds = max(seconds, HELD_SECONDS)
         wait: Deferred[None] = Deferred()
         timer: IDelayedCall = self._clock.callLater(seconds, self._expire, wait)
         self._waiting.append(wait)
--- a/notcharch/platform/process.py
+++ b/notcharch/platform/process.py
@@ -43,6 +43,7 @@
 from notcharch.http.server import ServerFactory
 from notcharch.journal.known_daemons import KnownDaemons
 from notcharch.journal.recovery_signal import RecoverySignal
+from notcharch.journal.store_outage import StoreOutage
 from notcharch.platform.headers import PlatformDialect
 from notcharch.platform.ingress import Ingress
 from notcharch.platform.probes import MetricsHandler, ReadinessHandler
@@ -85,6 +86,19 @@
     return Incarnation(int(time.time() * MILLISECONDS_PER_SECOND))
 
 
+def _outage(
+    settings: ProcessSettings, mechanisms: frozenset[Mechanism]
+) -> StoreOutage | None:
+    """Return the state of the store's outages, where calls are refused in them.
+
+    Retries that wait in an outage need the recovery signal.
+    """
+    needed = {Mechanism.OUTAGE_REFUSALS, Mechanism.RECOVERY_SIGNAL}
+    if not settings.has_competing_callers or not needed <= mechanisms:
+        return None
+    return StoreOutage()
+
+
 class Process:
     """One daemon on the platform."""
 
@@ -109,7 +123,7 @@
         suspicions = SharedSuspicions(
             is_shared=Mechanism.SHARED_SUSPICIONS in mechanisms
         )
-        recovery = RecoverySignal(reactor)
+        recovery = RecoverySignal(reactor, _outage(settings, mechanisms))
         self._accounts = AccountsService(
             AccountSettings(
                 address=f"{settings.host}:{settings.peer_ports[0]}",
--- a/tests/unit/accounts/world.py
+++ b/tests/unit/accounts/world.py
@@ -17,6 +17,8 @@
 from notcharch.http.messages import RequestHead
 from notcharch.journal.owner_names import parse_owner_name
 from notcharch.journal.partitioning import partitioning_for_topics
+from notcharch.journal.recovery_signal import RecoverySignal
+from notcharch.journal.store_outage import StoreOutage
 from notcharch.scheduling.shared_suspicions import SharedSuspicions
 from notcharch.settings.mechanisms import ALL_MECHANISMS, Mechanism
 from notcharch.tenants.interface import Tenant
@@ -83,8 +85,11 @@
         seed: int = 1,
         mechanisms: frozenset[Mechanism] = ALL_MECHANISMS,
         regions: tuple[str, ...] = (),
+        *,
+        refuses_in_outages: bool = False,
     ) -> None:
         """Assign the daemons to the regions in turn, if there are any."""
+        self.refuses_in_outages = refuses_in_outages
         self.mechanisms = mechanisms
         self.regions = regions
         self.listeners: list[Listener] = []
@@ -98,6 +103,7 @@
             self.clock, Random(seed), encode=True, codec=account_codec()
         )
         self.names = [DaemonName(f"d{number}") for number in range(daemons)]
+        self.recoveries: dict[DaemonName, RecoverySignal] = {}
         self.services: dict[DaemonName, AccountsService] = {}
         self.suspicions = {name: SharedSuspicions() for name in self.names}
         self.logs = {name: RefusableLog(self.log, self.clock) for name in self.names}
@@ -133,12 +139,18 @@
             daemon.network,
             Random(self.incarnations[name]),
             suspicions=self.suspicions[name],
+            recovery=self._recovery(name, daemon.clock),
             tenant=self.tenants.get,
             wall_clock=lambda: self.clock.seconds() + 1e9,
         )
         self.services[name] = service
         service.start()
 
+    def _recovery(self, name, clock) -> RecoverySignal:
+        outage = StoreOutage() if self.refuses_in_outages else None
+        self.recoveries[name] = RecoverySignal(clock, outage)
+        return self.recoveries[name]
+
     def region_of(self, name: DaemonName) -> str:
         """Return the region of a daemon."""
         position = self.names.index(name)
--- a/tests/unit/explain/test_explanation.py
+++ b/tests/unit/explain/test_explanation.py
@@ -22,6 +22,7 @@
     RequestWithoutRoute,
 )
 from notcharch.events.http import SlowReaderCut
+from notcharch.events.outages import RefusedInOutage, StoreOutageKnown
 from notcharch.events.process import (
     DependencyLost,
     LinesDropped,
@@ -248,3 +249,27 @@
     )
     assert told.is_explained
     assert "had not read 70000 bytes" in told.cause
+
+
+@pytest.mark.parametrize(
+    ("is_owners_decision", "why"),
+    [(True, "its admission needs an append"), (False, "no owner decided")],
+)
+def test_a_refusal_in_an_outage_names_it_and_the_retry(is_owners_decision, why):
+    told = cause(
+        line(0.4, "a", RefusedInOutage("r", "p", is_owners_decision, 2.5, 0.9)),
+        line(0.4, "a", refused()),
+    )
+    assert told.is_explained
+    assert told.cause == (
+        f"the store had been down for 2.5 s and {why}; the caller was told to retry "
+        "after 0.9 s"
+    )
+
+
+def test_an_outage_before_a_request_is_told_with_its_cause():
+    told = cause(
+        line(0.2, "a", StoreOutageKnown("account-owners", 0.7)),
+        line(1.4, "a", refused(phase="at engine")),
+    )
+    assert "a knew the store to be down" in told.cause
