--- a/notcharch/http/send_buffer.py
+++ b/notcharch/http/send_buffer.py
@@ -6,15 +6,30 @@
 from twisted.internet.interfaces import IPullProducer
 from zope.interface import implementer
 
-from notcharch.http.buffered_bytes import CONNECTION_BYTES
+from notcharch.http.buffered_bytes import RESUME_BYTES
 from notcharch.http.reactor import FlowControlledTransport
 
-TRANSPORT_BYTES = CONNECTION_BYTES // 4
-"""Most bytes that the transport gets at once.
+TRANSPORT_BYTES = 24 * 1024
+"""Bytes that the transport gets in small steps.
 
 Transports only tell when all their bytes are sent, so this is the step of the count: a
-connection that was behind catches up with a quarter to a half of its limit left.
+connection that was behind catches up with an eighth to a half of its limit left.
 """
+MAX_TRANSPORT_BYTES = 128 * 1024
+"""Most bytes that an empty transport gets at once; Twisted sends no more in a turn.
+
+Smaller pieces of a large body would each wait for a turn of a busy reactor.
+"""
+
+
+def transport_room(queued: int, in_transport: int) -> int:
+    """Return how many queued bytes the transport may get now.
+
+    An empty one gets all but those with which a connection has caught up.
+    """
+    if in_transport:
+        return TRANSPORT_BYTES - in_transport
+    return min(max(queued - RESUME_BYTES, TRANSPORT_BYTES), MAX_TRANSPORT_BYTES)
 
 
 @implementer(IPullProducer)
@@ -53,10 +68,11 @@
             # A pull producer is asked at once: it has nothing in the transport yet.
             self._is_registered = True
             self._transport.registerProducer(self, False)
-        while self._queue and self._in_transport < TRANSPORT_BYTES:
-            self._write_piece(TRANSPORT_BYTES - self._in_transport)
+        room = transport_room(self._queued, self._in_transport)
+        while self._queue and room > 0:
+            room -= self._write_piece(room)
 
-    def _write_piece(self, most: int) -> None:
+    def _write_piece(self, most: int) -> int:
         data = self._queue.popleft()
         piece = data[:most]
         if len(piece) < len(data):
@@ -64,6 +80,7 @@
         self._queued -= len(piece)
         self._in_transport += len(piece)
         self._transport.write(bytes(piece))
+        return len(piece)
 
     def resumeProducing(self) -> None:  # noqa: N802 - Twisted's name
         """Continue: the transport has sent all its bytes."""
--- a/tests/unit/http/slow_peer.py
+++ b/tests/unit/http/slow_peer.py
@@ -61,6 +61,11 @@
                 self.lose(failure)
                 return
 
+    def send_for_a_turn(self) -> None:
+        """Let the peer read what one turn of the reactor sends."""
+        self._room = 1 << 30
+        self.doWrite()
+
     @property
     def held(self) -> int:
         """Bytes in Twisted's buffers."""
--- a/tests/unit/http/test_slow_readers.py
+++ b/tests/unit/http/test_slow_readers.py
@@ -11,7 +11,11 @@
     total_limit,
 )
 from notcharch.http.client import ClientConnection, ResponseFailure
-from notcharch.http.send_buffer import TRANSPORT_BYTES
+from notcharch.http.send_buffer import (
+    MAX_TRANSPORT_BYTES,
+    TRANSPORT_BYTES,
+    transport_room,
+)
 from notcharch.http.server import PIPELINED_BYTES, ServerConnection, ServerLimits
 from tests.unit.events.capture import captured
 from tests.unit.http.pipe import Handler, Listener
@@ -80,6 +84,25 @@
     assert holders_to_cut({"a": 10, "b": 60, "c": 40, "d": 5}, 100) == ["b"]
 
 
+def test_a_large_body_takes_few_turns_of_the_reactor():
+    # A busy daemon would otherwise delay bodies by a turn for each small piece.
+    caller = Caller()
+    caller.exchange.respond(200, [], b"x" * 256 * 1024)
+    turns = 0
+    while caller.transport.is_writing:
+        caller.transport.send_for_a_turn()
+        turns += 1
+    assert caller.transport.sent.count(b"x") == 256 * 1024
+    assert turns <= 5
+
+
+def test_a_transport_gets_large_pieces_only_while_it_is_empty():
+    assert transport_room(10_000, 0) >= 10_000
+    assert transport_room(1 << 30, 0) == MAX_TRANSPORT_BYTES
+    assert transport_room(1 << 30, TRANSPORT_BYTES) == 0
+    assert transport_room(CONNECTION_BYTES, 0) == CONNECTION_BYTES - RESUME_BYTES
+
+
 def test_a_reader_that_stops_stops_the_engine_and_continues_it_at_half():
     caller = Caller()
     caller.exchange.start(200, [])
