--- a/notcharch/accounts/owner_requests.py
+++ b/notcharch/accounts/owner_requests.py
@@ -78,10 +78,9 @@
     def undecided_refusal(self, call: OpaqueCall) -> Refusal:
         """Return the refusal of a call that no owner decided in time."""
         now = self.clock.seconds()
-        if self.outages is not None and self.outages.known_seconds():
-            return self.outages.refusal(
-                call, self.outages.known_seconds(), is_owners_decision=False
-            )
+        outage = 0.0 if self.outages is None else self.outages.known_seconds()
+        if self.outages is not None and outage > 0.0:
+            return self.outages.refusal(call, outage, is_owners_decision=False)
         return with_retry_after(STATE_UNKNOWN, self.service_silence(), call, now)
 
     def send_notice(self, partition: int, message: Message) -> None:
--- a/notcharch/journal/group.py
+++ b/notcharch/journal/group.py
@@ -185,6 +185,8 @@
     def stop(self) -> None:
         """Stop sending heartbeats."""
         self._is_member = False
+        if self._outage is not None:
+            self._outage.forget()
         if self._next is not None and self._next.active():
             self._next.cancel()
 
--- a/notcharch/journal/store_outage.py
+++ b/notcharch/journal/store_outage.py
@@ -41,9 +41,13 @@
     def answered(self, now: float) -> float:
         """Record an answer; return how long the known outage lasted, 0 if none was."""
         seconds = self.known_seconds(now)
+        self.forget()
+        return seconds
+
+    def forget(self) -> None:
+        """Forget the outage: no heartbeat will tell when it is over."""
         self._due_at = None
         self._failures = 0
-        return seconds
 
     def known_seconds(self, now: float) -> float:
         """Return how long the outage has lasted; 0 unless the service counts as down."""
--- a/tests/unit/accounts/test_outages.py
+++ b/tests/unit/accounts/test_outages.py
@@ -127,6 +127,20 @@
         world.run(0.2)
 
 
+def test_a_daemon_that_stops_in_an_outage_takes_no_outage_for_lasting():
+    # Its heartbeats end, so nothing would tell it that the store is back.
+    world = in_outage(NO_ALLOWANCE)
+    stopping = world.names[0]
+    assert world.recoveries[stopping].known_outage_seconds() > 0.0
+    world.services[stopping].leave()
+    world.run(0.1)
+    world.log.trouble = Trouble.NONE
+    world.run(2.5)
+    assert world.recoveries[stopping].known_outage_seconds() == 0.0
+    listener = world.wait_for_decision(world.call("p9"), 0)
+    assert listener.ticket is not None
+
+
 def test_older_builds_read_the_reply_as_one_without_a_decision():
     class OlderNotOwner(msgspec.Struct, tag="NotOwner"):
         owner: str = ""
