--- a/tests/unit/accounts/test_outages.py
+++ b/tests/unit/accounts/test_outages.py
@@ -236,3 +236,34 @@
         listener, seconds = decision_seconds(world, world.call(f"new{at}"), at)
         assert listener.ticket is not None
         assert seconds <= AT_ONCE_SECONDS
+
+
+def test_a_view_that_is_suspected_all_the_time_is_rarely_refreshed_in_an_outage():
+    # Each request without a decision suspects it: 10 refreshes a second per daemon.
+    world = in_outage()
+    refreshes = []
+    owners = world.log.owners
+    world.log.owners = lambda group: refreshes.append(group) or owners(group)
+    directory = world.services[world.names[0]].directory
+    for _ in range(round(OUTAGE_SECONDS / 0.02)):
+        directory.suspect_stale()
+        world.run(0.02)
+    assert 1 <= len(refreshes) <= 4
+    world.log.trouble = Trouble.NONE
+    world.run(0.5)
+    directory.suspect_stale()
+    world.run(0.1)
+    assert directory.age_seconds < 0.7
+
+
+def test_an_outage_is_logged_when_it_is_known_and_when_it_is_over():
+    with captured() as messages:
+        world = in_outage()
+        world.run(2.0)
+        world.log.trouble = Trouble.NONE
+        world.run(1.0)
+    numbers = [m["event_number"] for m in messages if 2800 <= m["event_number"] < 2802]
+    assert sorted(numbers) == [2800] * 3 + [2801] * 3
+    for message in messages:
+        if message["event_number"] == 2801:
+            assert 3.0 <= message["seconds"] <= 4.0
