--- a/notcharch/accounts/limited_admission.py
+++ b/notcharch/accounts/limited_admission.py
@@ -105,6 +105,7 @@
             self._call,
             lambda: self._listener.awaits_admission,
             self._request_once,
+            gives_up=self._owners.gives_up,
         )
         if isinstance(reply, CallAdmitted):
             if reply.wait_seconds > 0.0:
--- a/notcharch/calls/call_lifecycle.py
+++ b/notcharch/calls/call_lifecycle.py
@@ -91,6 +91,7 @@
         """
         self._cause = ""
         """Why the last run failed."""
+        self._is_caller_behind = False
         self._output: list[bytes] = []
         """The relayed events, if the turn is to be stored."""
         self._log = CallLog(services.clock, call, route)
@@ -105,6 +106,7 @@
         seconds_left = max(self._deadline - clock.seconds(), 0.0)
         self._timer = clock.callLater(seconds_left, self._expire)
         self._reply.on_disconnect(self._caller_disconnected)
+        self._reply.watch_backlog(self._caller_backlog_changed)
         self._services.admission.request(self.call, self._route, self)
 
     # Admission
@@ -254,6 +256,8 @@
             if self._route.stores_turns:
                 self._output.append(complete_events)
             self._reply.write(complete_events)
+            if self._is_caller_behind and self._run is not None:
+                self._run.pause_reading()
         return bool(complete_events)
 
     def run_unreachable(self) -> None:
@@ -409,6 +413,16 @@
             may_have_run = bool(self._log.runs) or self._run is not None
             self._refuse(TIMED_OUT if may_have_run else NO_ENGINE)
 
+    def _caller_backlog_changed(self, is_behind: bool) -> None:
+        """Stop reading from the engine while the caller is behind."""
+        self._is_caller_behind = is_behind
+        if self._run is None:
+            return
+        if is_behind:
+            self._run.pause_reading()
+        else:
+            self._run.resume_reading()
+
     def _caller_disconnected(self) -> None:
         """Cancel the run of a caller that has disconnected."""
         if self._phase is Phase.OVER:
--- a/notcharch/explain/explanation.py
+++ b/notcharch/explain/explanation.py
@@ -1,6 +1,6 @@
 """The cause of a request's end, as far as the lines tell it."""
 
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 
 import msgspec
 
@@ -25,6 +25,12 @@
     RequestWithoutRoute,
 )
 from notcharch.events.engine_load import LoadTrackerSilent
+from notcharch.events.http import SlowReaderCut
+from notcharch.events.outages import (
+    RefusedInOutage,
+    StoreOutageKnown,
+    StoreOutageOver,
+)
 from notcharch.events.process import (
     DependencyLost,
     DependencyRegained,
@@ -66,6 +72,8 @@
     ProcessPaused.number,
     KeysUnsure.number,
     LoadTrackerSilent.number,
+    StoreOutageKnown.number,
+    StoreOutageOver.number,
 )
 SPENT = 402
 OVER_LIMIT = 429
@@ -259,6 +267,15 @@
 def _unadmitted(
     end: LogLine, own: Sequence[LogLine], context: Sequence[LogLine]
 ) -> str:
+    for line in own:
+        if line.number == RefusedInOutage.number:
+            is_owners = bool(line.fields.get("is_owners_decision"))
+            needs = "its admission needs an append" if is_owners else "no owner decided"
+            return (
+                f"the store had been down for {line.text('outage_seconds')} s and "
+                f"{needs}; the caller was told to retry after "
+                f"{line.text('retry_after_seconds')} s"
+            )
     asked = [line for line in own if line.number == OwnerUnanswered.number]
     if not asked:
         return f"not admitted within {end.text('seconds')} s{_troubles(context)}"
@@ -303,6 +320,13 @@
 
 
 def _left(end: LogLine, own: Sequence[LogLine], context: Sequence[LogLine]) -> str:
+    for line in own:
+        if line.number == SlowReaderCut.number:
+            return (
+                f"cut after {end.text('seconds')} s while {end.text('phase')}: the "
+                f"caller had not read {line.text('buffered_bytes')} bytes, and the "
+                "daemon held too much for slow readers"
+            )
     return (
         f"the caller left after {end.text('seconds')} s while {end.text('phase')}"
         f"{_troubles(context)}"
@@ -311,35 +335,53 @@
 
 def _troubles(context: Sequence[LogLine]) -> str:
     """Name what its daemon or its owner lost, gave up or began meanwhile."""
-    told: list[str] = []
-    for line in context:
-        if line.number == ZonesDrained.number and line.fields.get("in_force"):
-            zones = ", ".join(line.names("in_force"))
-            told.append(f"{line.machine} knew the zones {zones} to be drained")
-        elif line.number == DependencyLost.number:
-            told.append(
-                f"{line.machine} could not reach {line.text('dependency')} "
-                f"({line.text('fault')})"
-            )
-        elif line.number == PartitionGivenUp.number:
-            told.append(
-                f"{line.machine} gave up partition {line.text('partition')} "
-                f"({line.text('cause')})"
-            )
-        elif line.number == PartitionTakenOver.number:
-            told.append(f"{line.machine} took over partition {line.text('partition')}")
-        elif line.number == KeysUnsure.number:
-            verb = "could judge" if line.fields.get("is_sure") else "could not judge"
-            told.append(f"{line.machine} {verb} keys")
-        elif line.number == LoadTrackerSilent.number:
-            told.append(
-                f"{line.machine} got no engine loads from {line.text('tracker')} "
-                f"({line.text('cause')})"
-            )
-        elif line.number == ProcessPaused.number:
-            told.append(f"{line.machine} stood still for {line.text('seconds')} s")
-        elif line.number in (ProcessStarted.number, ProcessStopping.number):
-            verb = "started" if line.number == ProcessStarted.number else "was stopping"
-            told.append(f"{line.machine} {verb}")
+    told = [text for line in context if (text := _trouble(line))]
     unique = list(dict.fromkeys(told))
     return "; before it: " + "; ".join(unique) if unique else ""
+
+
+def _trouble(line: LogLine) -> str:
+    """Describe one event of a machine; empty if it may not have affected the request."""
+    describe = TROUBLES.get(line.number)
+    text = describe(line) if describe is not None else ""
+    return f"{line.machine} {text}" if text else ""
+
+
+def _zones_drained(line: LogLine) -> str:
+    if not line.fields.get("in_force"):
+        return ""
+    return f"knew the zones {', '.join(line.names('in_force'))} to be drained"
+
+
+def _dependency_lost(line: LogLine) -> str:
+    return f"could not reach {line.text('dependency')} ({line.text('fault')})"
+
+
+def _partition_given_up(line: LogLine) -> str:
+    return f"gave up partition {line.text('partition')} ({line.text('cause')})"
+
+
+def _keys_unsure(line: LogLine) -> str:
+    verb = "could judge" if line.fields.get("is_sure") else "could not judge"
+    return f"{verb} keys"
+
+
+def _tracker_silent(line: LogLine) -> str:
+    return f"got no engine loads from {line.text('tracker')} ({line.text('cause')})"
+
+
+TROUBLES: dict[int, Callable[[LogLine], str]] = {
+    ZonesDrained.number: _zones_drained,
+    DependencyLost.number: _dependency_lost,
+    StoreOutageKnown.number: lambda _: "knew the store to be down",
+    PartitionGivenUp.number: _partition_given_up,
+    PartitionTakenOver.number: lambda line: (
+        f"took over partition {line.text('partition')}"
+    ),
+    KeysUnsure.number: _keys_unsure,
+    LoadTrackerSilent.number: _tracker_silent,
+    ProcessPaused.number: lambda line: f"stood still for {line.text('seconds')} s",
+    ProcessStarted.number: lambda _: "started",
+    ProcessStopping.number: lambda _: "was stopping",
+}
+"""How an event of a daemon is described that may have affected a request, by number."""
--- a/notcharch/platform/process.py
+++ b/notcharch/platform/process.py
@@ -39,11 +39,14 @@
     SettingsRead,
 )
 from notcharch.events.tenants import LimitReached
+from notcharch.http.buffered_bytes import BufferedBytes, total_limit
 from notcharch.http.drain import Drain, DrainTimes
+from notcharch.http.metrics import BUFFERED_BYTES
 from notcharch.http.requester import Requester
 from notcharch.http.server import ServerFactory
 from notcharch.journal.known_daemons import KnownDaemons
 from notcharch.journal.recovery_signal import RecoverySignal
+from notcharch.journal.store_outage import StoreOutage
 from notcharch.platform.headers import PlatformDialect
 from notcharch.platform.ingress import Ingress
 from notcharch.platform.probes import MetricsHandler, ReadinessHandler
@@ -86,6 +89,19 @@
     return Incarnation(int(time.time() * MILLISECONDS_PER_SECOND))
 
 
+def _outage(
+    settings: ProcessSettings, mechanisms: frozenset[Mechanism]
+) -> StoreOutage | None:
+    """Return the state of the store's outages, where calls are refused in them.
+
+    Retries that wait in an outage need the recovery signal.
+    """
+    needed = {Mechanism.OUTAGE_REFUSALS, Mechanism.RECOVERY_SIGNAL}
+    if not settings.has_competing_callers or not needed <= mechanisms:
+        return None
+    return StoreOutage()
+
+
 class Process:
     """One daemon on the platform."""
 
@@ -112,7 +128,7 @@
         suspicions = SharedSuspicions(
             is_shared=Mechanism.SHARED_SUSPICIONS in mechanisms
         )
-        recovery = RecoverySignal(reactor)
+        recovery = RecoverySignal(reactor, _outage(settings, mechanisms))
         self._accounts = AccountsService(
             AccountSettings(
                 address=f"{settings.host}:{settings.peer_ports[0]}",
@@ -147,7 +163,9 @@
         )
         self._loads = self._load_exchange(pool, known_daemons, random)
         pool.use_exchange(self._loads)
-        sender = EngineSender(reactor, settings.host)
+        buffers = BufferedBytes(total_limit(settings.memory_bytes))
+        BUFFERED_BYTES.set_function(lambda: buffers.total)
+        sender = EngineSender(reactor, settings.host, buffers)
         self._freshness = TableFreshness(settings.revoke_seconds)
         self._check = CallerCheck(reactor, self._freshness)
         self._ingress = Ingress(
@@ -162,7 +180,7 @@
             ),
             self._check,
         )
-        self._factory = ServerFactory(self._ingress, reactor)
+        self._factory = ServerFactory(self._ingress, reactor, buffers)
         self._tables = PlatformTables(
             platform_store,
             reactor,
