--- a/deploy/soak/callers.py
+++ b/deploy/soak/callers.py
@@ -32,6 +32,9 @@
 TRIES = 3
 RETRY_SECONDS = 0.15
 PAUSE_SECONDS = 0.1
+SLOW_READER_SHARE = 0.1
+"""Share of the answers that their caller stops reading for a moment."""
+SLOW_READER_SECONDS = 0.5
 REQUEST_ID = b"x-notcharch-request-id"
 COMING_BACK = (429, 503)
 GIVEN_UP = (400, 401, 402, 404)
@@ -245,6 +248,9 @@
         )
         timer = self._reactor.callLater(CALL_SECONDS + 0.5, answer.give_up, connection)
         connection.send(head, body, answer)
+        if self._random.random() < SLOW_READER_SHARE:
+            connection.pause_reading()
+            self._reactor.callLater(SLOW_READER_SECONDS, connection.resume_reading)
         yield answer.done
         if timer.active():
             timer.cancel()
--- a/deploy/soak/daemons.py
+++ b/deploy/soak/daemons.py
@@ -25,6 +25,7 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 MODULE = "notcharch.platform"
+MEMORY_MEGABYTES = 128
 MILLISECONDS = 1000
 
 
@@ -69,6 +70,9 @@
             "internal_port_range": f"{self._peers},{self._peers}",
             "platform.address": f"{HOST}:{self.store.port}",
             "platform.parts": PARTITIONS,
+            # Switches on the reserve of limits and early refusals in outages.
+            "contracts": "base,tenants,quota,pressure",
+            "limits.memory_mb": MEMORY_MEGABYTES,
             "platform.retention_s": RETENTION_SECONDS * 5,
             "bounds.grace_period_s": GRACE_SECONDS,
             "bounds.drain_ms": int(DRAIN_SECONDS * MILLISECONDS),
--- a/deploy/soak/engine_server.py
+++ b/deploy/soak/engine_server.py
@@ -19,7 +19,8 @@
 EVENT_SECONDS = 0.02
 WORK_SECONDS = 0.03
 HEARTBEAT_SECONDS = 1.2
-SLOTS = 16
+SLOTS = 2
+"""Few enough that four daemons exchange the loads of engines."""
 CHUNKED: Headers = [(b"transfer-encoding", b"chunked")]
 
 
