--- a/deploy/pages/capacity.py
+++ b/deploy/pages/capacity.py
@@ -1,6 +1,7 @@
 """docs/CAPACITY.md: how the load grows with the machines, from the bench's slopes."""
 
 from deploy.pages.entries import Day, Entry, Sweep, read_sweep
+from deploy.pages.targets import read_targets, target_table
 
 HEAD = """# Capacity
 
@@ -47,6 +48,7 @@
         parts.append(
             f"\n## Sweep of {entry.site}, {entry.label}\n\n{sweep_table(table)}"
         )
+    parts.append(target_table(scores, read_targets()))
     parts.append(SIZE_HEAD)
     parts.extend(size_rows(scores))
     return "".join(parts)
--- a/tests/unit/deploy/test_pages.py
+++ b/tests/unit/deploy/test_pages.py
@@ -7,6 +7,7 @@
 from deploy.pages.entries import Entry, read_entries, read_sweep
 from deploy.pages.hunts import hunts_page
 from deploy.pages.results import plot_scores, results_page
+from deploy.pages.targets import Target, target_table
 
 SWEEP = """sweep-100  99/1002  0.97  0.967
 
@@ -106,3 +107,16 @@
     assert rows[-1] == "| 1 (01234567) | place | 3 | 1 | 2 | 0.310, mix --seed 7 |"
     assert sum(row.startswith("| 1 ") for row in rows) == 1
     assert not any(row.startswith("| 2 ") for row in rows)
+
+
+def test_targets_stand_beside_the_newest_score_of_all_days(tmp_path):
+    """A quick score has too few days to say whether a target is reached."""
+    days = [day("quiet-1", 0.9), day("trouble-1", 0.6), day("scale-1", 0.8)]
+    write(tmp_path, "1", "score", days=days)
+    write(tmp_path, "2", "score", days=days[:2])
+    scores = list(read_entries("score", tmp_path))
+    targets = [Target("place", 2, 0.72, 0.85), Target("elsewhere", 2, 0.7, 0.8)]
+    table = target_table(scores, targets)
+    assert "| place | 2 | 0.72 | 0.85 | 0.700 | 0.600 | 1 (01234567) |" in table
+    assert "elsewhere" not in table
+    assert target_table(scores, targets[1:]) == ""
