--- a/notcharch/scheduling/expected_seconds.py
+++ b/notcharch/scheduling/expected_seconds.py
@@ -18,9 +18,7 @@
 """Share of a run that is added by the fourth power of the share of slots taken.
 
 It fills equal engines evenly, and stands for calls that are not counted yet: the last
-free slots are likely to be taken when the call arrives. In trials with a played service
-of 12 engines of unequal speed (load 0.6, counts 2 to 4 ms old), 0.065 of the calls met a
-full engine beside one at most half full; with share 1 of the square 0.176.
+free slots are likely to be taken when the call arrives.
 """
 FILL_EXPONENT = 4
 """With 6 slots, half-full engines differ from empty ones by a fifth of a run, less than
@@ -29,9 +27,13 @@
 """Weight of a wait for a slot in the comparison of engines.
 
 A call at a full engine also delays the calls that come after it there, which its own
-expected seconds do not show. In trials with a played service of 12 engines of unequal
-speed (load 0.75, `FILL_SHARE` 0.1 and linear) the mean call took 0.197 s with weight 1,
-0.164 s with 2, 0.146 s with 4 and 0.142 s with 8.
+expected seconds do not show.
+"""
+READING_WEIGHT = 4.0
+"""Weight of reading a prompt in the comparison of engines.
+
+An engine reads prompts between the events of the calls that it runs, and what it reads
+displaces prefixes of other programs.
 """
 OTHER_ZONE_SECONDS = 0.003
 """Additional network time of a call to another zone of the region."""
@@ -118,8 +120,9 @@
         taken = 1.0 if is_remote else share
         filling = FILL_SHARE * self.run_seconds * taken**FILL_EXPONENT
         trip = self.distance_seconds if is_remote else 0.0
-        delays = self.wait_seconds + trip
-        return self.seconds + (WAIT_WEIGHT - 1.0) * delays + filling
+        delays = (WAIT_WEIGHT - 1.0) * (self.wait_seconds + trip)
+        reading = (READING_WEIGHT - 1.0) * self.reading_seconds
+        return self.seconds + delays + reading + filling
 
 
 class ChoiceReason(enum.Enum):
