--- a/notcharch/calls/call_lifecycle.py
+++ b/notcharch/calls/call_lifecycle.py
@@ -7,7 +7,7 @@
 
 from notcharch.calls.call_log import CallLog
 from notcharch.calls.engine_run import CLIENT_ERRORS, CallServices, EngineRun
-from notcharch.calls.engines import Selection
+from notcharch.calls.engine_selection import Selection
 from notcharch.calls.event_stream import EventFramer
 from notcharch.calls.interface import (
     MAY_HAVE_RUN,
--- a/notcharch/calls/call_log.py
+++ b/notcharch/calls/call_log.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.interfaces import IReactorTime
 
-from notcharch.calls.engines import Selection
+from notcharch.calls.engine_selection import Selection
 from notcharch.calls.interface import OpaqueCall, Refusal, Route
 from notcharch.calls.metrics import (
     ADMISSION_SECONDS,
--- a/notcharch/calls/engine_run.py
+++ b/notcharch/calls/engine_run.py
@@ -7,8 +7,9 @@
 
 from notcharch.calls.call_log import CallLog
 from notcharch.calls.call_urgency import CallUrgency
+from notcharch.calls.engine_selection import PromptSample
 from notcharch.calls.engine_sender import EngineRequest, EngineSender
-from notcharch.calls.engines import EnginePool, PromptSample
+from notcharch.calls.engines import EnginePool
 from notcharch.calls.interface import (
     Admission,
     Engine,
--- a/notcharch/calls/engines.py
+++ b/notcharch/calls/engines.py
@@ -7,10 +7,11 @@
 from twisted.internet.interfaces import IReactorTime
 
 from notcharch.calls.eligibility import EngineEligibility, NoEngine
+from notcharch.calls.engine_selection import EngineSelector, PromptSample, Selection
+from notcharch.calls.engine_state import EngineState
 from notcharch.calls.interface import Engine, LoadExchange
 from notcharch.calls.metrics import COLD_ENGINES, COLD_SENDS
 from notcharch.calls.reported_calls import ReportedCalls
-from notcharch.scheduling.cold_engines import WarmupState
 from notcharch.scheduling.engine_health import (
     EngineHealth,
     HealthPolicy,
@@ -22,13 +23,7 @@
     EngineRouting,
     RoutingPolicy,
 )
-from notcharch.scheduling.expected_seconds import (
-    CallNeeds,
-    ChoiceReason,
-    CostChoice,
-    LoadedEngine,
-    choose_by_cost,
-)
+from notcharch.scheduling.expected_seconds import CallNeeds
 from notcharch.scheduling.learned_values import ASSUMED_EVENTS, ServiceLearning
 from notcharch.scheduling.nearness import Nearness
 from notcharch.scheduling.shared_suspicions import (
@@ -62,59 +57,6 @@
     health: HealthPolicy = HealthPolicy()
 
 
-class EngineState:
-    """What this daemon knows of one engine."""
-
-    def __init__(self, engine: Engine, health: EngineHealth) -> None:
-        """Start without calls."""
-        self.engine = engine
-        self.health = health
-        self.warmth = WarmupState()
-        self.in_flight = 0
-        """Calls of this daemon in flight at the engine."""
-        self.last_resort_since: float | None = None
-        """Clock seconds since which it is draining or unlisted."""
-
-    @property
-    def id(self) -> str:
-        """Return the engine's id."""
-        return self.engine.id
-
-    @property
-    def zone(self) -> str:
-        """Return the engine's zone."""
-        return self.engine.zone
-
-    @property
-    def slots(self) -> int:
-        """Return the number of calls that it runs concurrently."""
-        return self.engine.slots
-
-    @property
-    def run_seconds(self) -> float | None:
-        """Return the usual duration of a call, if known."""
-        return self.health.run_seconds
-
-
-class PromptSample(msgspec.Struct, frozen=True):
-    """A call that met a free slot: its first event shows how prompts are read."""
-
-    tokens: int
-    is_cached: bool
-    """Whether the engine caches the prefix, and reads no prompt."""
-
-
-class Selection(msgspec.Struct, frozen=True):
-    """The engine for a call, and why it was chosen."""
-
-    engine: Engine
-    reason: ChoiceReason
-    by_cost: CostChoice | None = None
-    """The expected seconds, where the loads of the engines are known."""
-    prompt: PromptSample | None = None
-    """Set if the call's first event shows how prompts are read."""
-
-
 class EnginePool:
     """The engines of all services, with this daemon's calls to each."""
 
@@ -137,12 +79,12 @@
         self._suspicions = suspicions or SharedSuspicions()
         self._policy = policy or PoolPolicy()
         self._clock = clock
-        self._routing = EngineRouting(self._policy.routing, place, random)
+        routing = EngineRouting(self._policy.routing, place, random)
+        self._selector = EngineSelector(routing, random)
         self._states: dict[str, EngineState] = {}
         self._by_service: dict[str, list[EngineState]] = {}
         self._services: dict[str, ServiceHealth] = {}
         self._learning: dict[str, ServiceLearning] = {}
-        self._random = random
         self._reported = ReportedCalls()
         self._loads_at: dict[str, float] = {}
         """Clock seconds at which loads of a service were last used."""
@@ -312,30 +254,8 @@
         options = self._options(service, tried, regions)
         if not options:
             return None
-        loaded = self._loaded_engines(options, loads)
-        cached_engine = call.cached_engine
-        is_load_known = any(engine.id == cached_engine for engine in loaded)
-        keeps_unknown = not is_load_known and self._routing.keeps_cached_engine(
-            options, call
-        )
-        if not loaded or keeps_unknown:
-            engine = self._routing.choose(options, call).engine
-            return Selection(engine, ChoiceReason.OWN_COUNTS)
-        unknown = [state for state in options if state.id not in loads]
-        if unknown and all(engine.is_full for engine in loaded):
-            # Otherwise a tracker that does not answer takes its engines out of service.
-            engine = self._routing.choose(unknown, call).engine
-            return Selection(engine, ChoiceReason.OWN_COUNTS)
-        needs = self._needs(service, cached_engine, prompt_tokens)
-        choice = choose_by_cost(loaded, needs, self._random)
-        chosen = choice.chosen.engine
-        sample = PromptSample(prompt_tokens, chosen.id == cached_engine)
-        return Selection(
-            self._states[chosen.id].engine,
-            choice.reason,
-            choice,
-            prompt=None if chosen.is_full else sample,
-        )
+        needs = self._needs(service, call.cached_engine, prompt_tokens)
+        return self._selector.select(options, call, loads, needs)
 
     def shares_load(self, service: str) -> bool:
         """Return whether loads of a service were known recently."""
@@ -343,22 +263,6 @@
         now = self._clock.seconds()
         return used_at is not None and now - used_at < LOADS_RECENT_SECONDS
 
-    def _loaded_engines(
-        self, options: Sequence[EngineState], loads: Mapping[str, EngineLoad]
-    ) -> list[LoadedEngine]:
-        """Return the engines of known load; a daemon's own calls are a lower bound."""
-        return [
-            LoadedEngine(
-                state.id,
-                state.slots,
-                max(loads[state.id].in_flight, state.in_flight),
-                loads[state.id].event_interval_seconds,
-                self._routing.distance(state),
-            )
-            for state in options
-            if state.id in loads
-        ]
-
     def _needs(self, service: str, cached_engine: str, prompt_tokens: int) -> CallNeeds:
         learned = self._learned(service)
         prefers_cached = self._policy.routing.prefers_cached_engine
--- a/notcharch/scheduling/urgency.py
+++ b/notcharch/scheduling/urgency.py
@@ -11,11 +11,7 @@
 A call that could still be in time is thus never behind its own kind by a whole band.
 
 Times left are compared with what is usual at first calls of all programs of the same
-priority, because these wait together. In trials with played programs of 2 to 11 calls
-(load 0.75 with bursts, three seeds), 0.11 to 0.14 of them were late by these rules and
-0.19 to 0.25 in the order of arrival. With all beginnings behind all programs under way
-they were 0.20 to 0.26, and in the order of the time left for each remaining call 0.30 to
-0.37.
+priority, because these wait together. docs/design/hard-load.md compares this order with others.
 """
 
 import enum
--- a/tests/unit/calls/test_shared_load.py
+++ b/tests/unit/calls/test_shared_load.py
@@ -6,7 +6,8 @@
 from twisted.internet.task import Clock
 
 from notcharch.calls.call_urgency import CallUrgency
-from notcharch.calls.engines import EnginePool, PoolPolicy, PromptSample
+from notcharch.calls.engine_selection import PromptSample
+from notcharch.calls.engines import EnginePool, PoolPolicy
 from notcharch.calls.interface import NO_ENGINE, TIMED_OUT, ServiceShare
 from notcharch.calls.policies import call_urgency, pool_policy
 from notcharch.calls.routing import Router, RouteTable
