--- a/notcharch/accounts/account_group.py
+++ b/notcharch/accounts/account_group.py
@@ -44,6 +44,13 @@
     tolerance: Tolerance
     """How far the limits of tenants may be exceeded."""
     mechanisms: frozenset[Mechanism]
+    has_competing_callers: bool = False
+    """Whether callers compete for less capacity than they need."""
+
+    @property
+    def reserves_limits(self) -> bool:
+        """Whether limits reserve calls for running programs."""
+        return self.has_competing_callers and Mechanism.LIMIT_RESERVE in self.mechanisms
 
 
 class GroupServices(msgspec.Struct, frozen=True):
@@ -104,6 +111,7 @@
                 tenant=services.tenant,
                 tolerance=settings.tolerance,
                 lease=self._lease,
+                reserves=settings.reserves_limits,
             ),
             uses_starting_allowance=Mechanism.STARTING_ALLOWANCE in mechanisms,
             wall_clock=services.wall_clock,
--- a/notcharch/accounts/limited_tenants.py
+++ b/notcharch/accounts/limited_tenants.py
@@ -11,6 +11,11 @@
     CallOverLimit,
     NotOwner,
 )
+from notcharch.accounts.metrics import (
+    LIMIT_REFUSALS,
+    LIMIT_REFUSED_SECONDS,
+    LIMIT_RETRY_SECONDS,
+)
 from notcharch.accounts.records import AnyRecord, LimitsHandedOver, LimitsTaken
 from notcharch.events.event import emit
 from notcharch.events.tenants import LimitReached
@@ -38,6 +43,8 @@
     sizes: ProgramSizes = msgspec.field(default_factory=ProgramSizes)
     lease: Callable[[], Lease] = lambda: HELD_LEASE
     """Returns the state of this daemon's lease on its partitions."""
+    reserves: bool = False
+    """Whether limits reserve calls for running programs."""
 
 
 class LimitedTenants:
@@ -50,7 +57,11 @@
         self._limit_context = limit_context
         self._clock = clock
         self._partition = partition
-        self._limits = PartitionLimits(limit_context.tolerance, limit_context.sizes)
+        self._limits = PartitionLimits(
+            limit_context.tolerance,
+            limit_context.sizes,
+            reserves=limit_context.reserves,
+        )
 
     # Ownership changes
 
@@ -100,7 +111,10 @@
             return NOT_OWNER  # another daemon may be the owner by now
         if isinstance(verdict, OverLimit):
             self._log(request, tenant.limit, verdict)
+            _count_refusal(request.tenant, verdict)
             return CallOverLimit(round(verdict.retry_after_seconds, 3))
+        if verdict.refused_seconds > 0.0:
+            LIMIT_REFUSED_SECONDS.observe(verdict.refused_seconds)
         return CallAdmitted(round(verdict.wait_seconds, 4))
 
     def _log(self, message: AdmitCall, limit: RateLimit, verdict: OverLimit) -> None:
@@ -120,5 +134,14 @@
                 retry_after_seconds=round(verdict.retry_after_seconds, 3),
                 partition=self._partition,
                 standing=ownership.value,
+                cause=verdict.cause.value,
+                reserved_calls=round(verdict.reserved_calls, 2),
+                program_calls=verdict.program_calls,
             )
         )
+
+
+def _count_refusal(tenant: str, verdict: OverLimit) -> None:
+    labels = (tenant, verdict.cause.value)
+    LIMIT_REFUSALS.labels(*labels).inc()
+    LIMIT_RETRY_SECONDS.labels(*labels).inc(verdict.retry_after_seconds)
--- a/notcharch/accounts/metrics.py
+++ b/notcharch/accounts/metrics.py
@@ -18,3 +18,18 @@
     "Waits of calls for which a tenant's limit had room in a moment",
     buckets=(0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8),
 )
+LIMIT_REFUSALS = Counter(
+    "notcharch_limit_refusals",
+    "Calls that a tenant's limit refused, by the cause",
+    ["tenant", "cause"],
+)
+LIMIT_RETRY_SECONDS = Counter(
+    "notcharch_limit_retry_seconds",
+    "Sum of the retry times given with these refusals",
+    ["tenant", "cause"],
+)
+LIMIT_REFUSED_SECONDS = Histogram(
+    "notcharch_limit_refused_seconds",
+    "From the first refusal of a program until it began",
+    buckets=(0.2, 0.5, 1.0, 2.0, 4.0, 8.0),
+)
--- a/notcharch/accounts/service.py
+++ b/notcharch/accounts/service.py
@@ -67,6 +67,8 @@
     """Region of this daemon."""
     regions: tuple[str, ...] = ()
     """Names of all regions."""
+    has_competing_callers: bool = False
+    """Whether callers compete for less capacity than they need."""
 
 
 class AccountsService:
@@ -99,6 +101,7 @@
             settings.retention_seconds,
             settings.tolerance,
             settings.mechanisms,
+            settings.has_competing_callers,
         )
         self._services = GroupServices(
             log,
--- a/notcharch/events/tenants.py
+++ b/notcharch/events/tenants.py
@@ -33,6 +33,13 @@
     partition: int
     standing: str
     """How sure the owner of the limit was that it alone decides."""
+    cause: str = ""
+    """Why the call had no room: "no room", "begins" (a program that is not expected to
+    fit), "loops" (a program far larger than its kind) or "unclaimed" (no program)."""
+    reserved_calls: float = 0.0
+    """Calls reserved for running programs and for those that return earlier."""
+    program_calls: int = 0
+    """Calls that the program has made at this owner."""
 
 
 class PeerVouched(Event, frozen=True):
--- a/notcharch/explain/explanation.py
+++ b/notcharch/explain/explanation.py
@@ -212,12 +212,25 @@
                 f"tenant {line.text('tenant')} has {line.text('calls_left')} calls left "
                 f"of its limit of {limit} at once"
             )
-            begins = bool(line.fields.get("begins_program"))
-            why = "; its program would have begun and is not expected to fit"
-            return text + (why if begins else "")
+            return text + _limit_cause(line)
     return "over its tenant's limit, said the owner that counts it; its line is missing"
 
 
+def _limit_cause(line: LogLine) -> str:
+    """Return why a limit without room for all refused this call."""
+    reserved = line.fields.get("reserved_calls")
+    beside = f" beside {reserved} reserved calls" if reserved else ""
+    if line.fields.get("begins_program"):
+        return f"; its program would have begun and is not expected to fit{beside}"
+    cause = line.fields.get("cause")
+    if cause == "loops":
+        made = line.text("program_calls")
+        return f"; its program has made {made} calls, far more than its kind{beside}"
+    if cause == "unclaimed":
+        return f"; it belongs to no program and has no room{beside}"
+    return ""
+
+
 def _denied(own: Sequence[LogLine]) -> str:
     for line in own:
         if line.number in (TurnDenied.number, TurnAdopted.number):
--- a/notcharch/platform/process.py
+++ b/notcharch/platform/process.py
@@ -118,6 +118,7 @@
                 tolerance=settings.tolerance,
                 region=settings.regions.get(settings.zone, ""),
                 regions=tuple(sorted(set(settings.regions.values()))),
+                has_competing_callers=settings.has_competing_callers,
             ),
             platform_store,
             reactor,
--- /dev/null
+++ b/notcharch/tenants/claims.py
@@ -0,0 +1,34 @@
+"""The calls that running programs still need, by what their kind is known to make. Pure."""
+
+from notcharch.tenants.needs import MIN_SECONDS, Need
+from notcharch.tenants.program_sizes import ProgramSize
+
+LOOP_FACTOR = 2.0
+"""A program that has made this many times its kind's mean has no claim any more. The
+longest programs of a kind make about 1.5 times the mean; a wrong verdict only lets the
+program's calls yield to the others."""
+MIN_REMAINING_SHARE = 0.25
+"""Share of the mean that a program is expected to need still, however many calls it has
+made: a program that is beyond the mean has not ended."""
+CLAIM_SECONDS = 2.0
+"""A claim falls to zero over this time without a call: the program has most likely
+ended. Pauses for tools are shorter."""
+
+
+def is_looping(calls_made: float, size: ProgramSize) -> bool:
+    """Return whether a program has made far more calls than its kind does."""
+    return calls_made >= LOOP_FACTOR * size.calls
+
+
+def claim(calls_made: float, idle_seconds: float, size: ProgramSize) -> Need | None:
+    """Return the expected remaining need of a running program, None if it has no claim."""
+    if idle_seconds >= CLAIM_SECONDS or is_looping(calls_made, size):
+        return None
+    share = max(1.0 - calls_made / size.calls, MIN_REMAINING_SHARE)
+    likelihood = 1.0 - idle_seconds / CLAIM_SECONDS
+    return Need(size.calls * share * likelihood, max(size.seconds * share, MIN_SECONDS))
+
+
+def whole_need(size: ProgramSize, start: float = 0.0) -> Need:
+    """Return the need of a program that has made no calls."""
+    return Need(size.calls, max(size.seconds, MIN_SECONDS), start)
--- a/notcharch/tenants/limit.py
+++ b/notcharch/tenants/limit.py
@@ -10,6 +10,7 @@
 while calls of running programs use any available capacity.
 """
 
+import enum
 import math
 
 import msgspec
@@ -55,6 +56,19 @@
     """The call may run after a wait."""
 
     wait_seconds: float = 0.0
+    refused_seconds: float = 0.0
+    """Time since the first refusal of the program that begins with this call."""
+
+
+class RefusalCause(enum.Enum):
+    """Why a limit refused a call."""
+
+    NO_ROOM = "no room"
+    BEGINS = "begins"
+    LOOPS = "loops"
+    """Its program has made far more calls than its kind does."""
+    UNCLAIMED = "unclaimed"
+    """It belongs to no program, and the calls available are reserved for programs."""
 
 
 class OverLimit(msgspec.Struct, frozen=True):
@@ -65,6 +79,11 @@
     """True if the call would have started a program."""
     level: float
     """Number of calls that were available."""
+    cause: RefusalCause = RefusalCause.NO_ROOM
+    reserved_calls: float = 0.0
+    """Calls reserved for running programs."""
+    program_calls: int = 0
+    """Calls that the program has made."""
 
 
 Verdict = Granted | OverLimit
@@ -123,8 +142,9 @@
                 running.was_refused = True
             needed = self._sizes.of(kind).calls if is_new_program else 1.0
             retry_after = self._retry_after(shortfall, needed, supply, now)
+            cause = RefusalCause.BEGINS if is_new_program else RefusalCause.NO_ROOM
             return OverLimit(
-                retry_after, is_new_program, self._available_calls(supply, now)
+                retry_after, is_new_program, self._available_calls(supply, now), cause
             )
         self.level -= 1.0
         self.recent.add(now + wait)
@@ -196,9 +216,12 @@
         ]
         for name, running in ended:
             del self._programs[name]
-            if not running.was_refused:
-                size = ProgramSize(float(running.calls), running.last - running.began)
-                self._sizes.record(running.kind, size)
+            self._record_ended(running)
+
+    def _record_ended(self, running: RunningProgram) -> None:
+        if not running.was_refused:
+            size = ProgramSize(float(running.calls), running.last - running.began)
+            self._sizes.record(running.kind, size)
 
 
 def exclusive_supply(
--- a/notcharch/tenants/partition_limits.py
+++ b/notcharch/tenants/partition_limits.py
@@ -34,6 +34,7 @@
 )
 from notcharch.tenants.program_sizes import ProgramSizes
 from notcharch.tenants.recent_calls import RecentCalls
+from notcharch.tenants.reserving_limit import ReservingLimit
 from notcharch.tenants.tenant_use import TenantUse
 
 MAX_LAPSED_SECONDS = 4.0
@@ -113,8 +114,14 @@
 class PartitionLimits:
     """The token buckets of one partition's tenants."""
 
-    def __init__(self, tolerance: Tolerance, sizes: ProgramSizes) -> None:
-        """Start without tenants, and without deciding."""
+    def __init__(
+        self, tolerance: Tolerance, sizes: ProgramSizes, *, reserves: bool = False
+    ) -> None:
+        """Start without tenants, and without deciding.
+
+        `reserves`: whether calls are reserved for running programs.
+        """
+        self._reserves = reserves
         self._tolerance = tolerance
         self._sizes = sizes
         self._limits: dict[str, TenantLimit] = {}
@@ -154,7 +161,10 @@
             limit.recent.restore(use.recent, now)
 
     def _new_limit(self, level: float, now: float) -> TenantLimit:
-        recent = RecentCalls(self._tolerance.window_seconds)
+        window = self._tolerance.window_seconds
+        recent = RecentCalls(window)
+        if self._reserves:
+            return ReservingLimit(level, now, self._sizes, recent, window)
         return TenantLimit(level, now, self._sizes, recent)
 
     def hand_over(self, now: float) -> LimitHandover | None:
--- a/notcharch/tenants/recent_calls.py
+++ b/notcharch/tenants/recent_calls.py
@@ -49,6 +49,14 @@
             seconds = (slot.number + SLOTS + 1) * self._slot_seconds - now
         return seconds if calls <= max_calls else math.inf
 
+    def leaving(self, now: float) -> list[tuple[float, float]]:
+        """Return the seconds until calls leave the window, and their number, in order."""
+        self.count(now)
+        return [
+            ((slot.number + SLOTS + 1) * self._slot_seconds - now, slot.calls)
+            for slot in self._slots
+        ]
+
     def add(self, at: float, calls: float = 1.0) -> None:
         """Count calls admitted at a time, or in the newest slot if that is later."""
         number = self._number(at)
--- a/tests/unit/accounts/world.py
+++ b/tests/unit/accounts/world.py
@@ -83,9 +83,12 @@
         seed: int = 1,
         mechanisms: frozenset[Mechanism] = ALL_MECHANISMS,
         regions: tuple[str, ...] = (),
+        *,
+        has_competing_callers: bool = False,
     ) -> None:
         """Assign the daemons to the regions in turn, if there are any."""
         self.mechanisms = mechanisms
+        self.has_competing_callers = has_competing_callers
         self.regions = regions
         self.listeners: list[Listener] = []
         self.tenants: dict[str, Tenant] = {}
@@ -127,6 +130,7 @@
                 mechanisms=self.mechanisms,
                 region=self.region_of(name),
                 regions=self.regions,
+                has_competing_callers=self.has_competing_callers,
             ),
             self.logs[name],
             daemon.clock,
