--- a/emulator/peers/time.py
+++ b/emulator/peers/time.py
@@ -58,6 +58,10 @@
         self._done = True
         self._function()
 
+    def hold(self) -> None:
+        """Keep a due call pending, because its process is paused."""
+        self._done = False
+
     def _move_to(self, time: float) -> None:
         if self._done:
             raise error.AlreadyCalled()
@@ -136,12 +140,19 @@
         """Make a call after `delay` seconds, or on waking if that is later."""
 
         def due() -> None:
-            self.run_or_hold(call_now)
-
-        def call_now() -> None:
-            callable(*args, **kw)
-
-        return self._queue.schedule(delay, due)
+            if self._paused and not self._stopped:
+                # As in a stopped process, the call stays pending and can be cancelled.
+                scheduled.hold()
+                self._held.append(run_when_due)
+            elif not self._stopped:
+                callable(*args, **kw)
+
+        def run_when_due() -> None:
+            if scheduled.time <= self.seconds():
+                scheduled.run()
+
+        scheduled = self._queue.schedule(delay, due)
+        return scheduled
 
     def getDelayedCalls(self) -> Sequence[IDelayedCall]:  # noqa: N802
         """Not kept by daemon; always empty."""
--- a/tests/unit/emulator/test_peers.py
+++ b/tests/unit/emulator/test_peers.py
@@ -135,6 +135,25 @@
     assert value_of(asked) == Ok(Acknowledged())
 
 
+def test_a_call_that_is_due_in_a_paused_daemon_can_be_cancelled_when_it_wakes():
+    """In a stopped process an overdue call is pending until the reactor runs it."""
+    fabric = Fabric()
+    fired = []
+    clock = fabric.fabric.daemon(BETA).clock
+    cancelled = clock.callLater(1.0, lambda: fired.append("cancelled"))
+    moved = clock.callLater(1.0, lambda: fired.append("moved"))
+    fabric.fabric.pause(BETA)
+    fabric.run(2)
+    fabric.fabric.resume(BETA)
+    assert cancelled.active()
+    cancelled.cancel()
+    moved.reset(3.0)
+    fabric.run(1)
+    assert fired == []
+    fabric.run(3)
+    assert fired == ["moved"]
+
+
 def test_a_crashed_process_does_nothing_more_and_its_successor_is_another():
     fabric = Fabric()
     fired = []
