--- a/notcharch/explain/explanation.py
+++ b/notcharch/explain/explanation.py
@@ -225,7 +225,7 @@
     cause = line.fields.get("cause")
     if cause == "loops":
         made = line.text("program_calls")
-        return f"; its program has made {made} calls, far more than its kind{beside}"
+        return f"; its program has made {made} calls, far more than its kind, and has no room{beside}"
     if cause == "unclaimed":
         return f"; it belongs to no program and has no room{beside}"
     return ""
--- a/tests/stateful/tenants/limits_machine.py
+++ b/tests/stateful/tenants/limits_machine.py
@@ -29,10 +29,11 @@
     """Calls of two tenants; records when each one is admitted."""
 
     group = GROUP
+    has_competing_callers = False
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = World(DAEMONS)
+        self.world = World(DAEMONS, has_competing_callers=self.has_competing_callers)
         for name, limit in LIMITS.items():
             self.world.tenants[name] = Tenant(name, limit=limit)
         self.world.run(5.0)
@@ -111,3 +112,9 @@
         self.ask("large", 0, 30, 1)
         self.run(1.0)
         assert len(self.admitted["large"]) - before == 30
+
+
+class CompetingLimitsMachine(LimitsMachine):
+    """The same, with the same bounds, where callers compete."""
+
+    has_competing_callers = True
--- a/tests/stateful/tenants/test_limits_machine.py
+++ b/tests/stateful/tenants/test_limits_machine.py
@@ -3,16 +3,20 @@
 import pytest
 from hypothesis.stateful import run_state_machine_as_test
 
+from notcharch.tenants import reserving_limit
 from notcharch.tenants.limit import GRANTED, TenantLimit
 from notcharch.tenants.partition_limits import LimitOwnership, PartitionLimits
+from notcharch.tenants.reserving_limit import ReservingLimit
+from notcharch.tenants.return_queue import ReturnQueue
 from tests.stateful.runs import RUN, assert_caught
-from tests.stateful.tenants.limits_machine import LimitsMachine
+from tests.stateful.tenants.limits_machine import CompetingLimitsMachine, LimitsMachine
 from tests.unit.accounts import test_tenant_limits
-from tests.unit.tenants import test_partition_limits
+from tests.unit.tenants import test_partition_limits, test_reserving_limit
 
 
-def test_limits_hold():
-    run_state_machine_as_test(LimitsMachine, settings=RUN)
+@pytest.mark.parametrize("machine", [LimitsMachine, CompetingLimitsMachine])
+def test_limits_hold(machine):
+    run_state_machine_as_test(machine, settings=RUN)
 
 
 def nothing_is_counted(monkeypatch):
@@ -33,6 +37,18 @@
     monkeypatch.setattr(PartitionLimits, "replay_handover", lambda *_: None)
 
 
+def a_reserving_limit_does_not_count_its_calls(monkeypatch):
+    monkeypatch.setattr(ReservingLimit, "_admit", lambda *_: GRANTED)
+
+
+def loops_have_claims(monkeypatch):
+    monkeypatch.setattr(reserving_limit, "is_looping", lambda *_: False)
+
+
+def refused_programs_keep_no_places(monkeypatch):
+    monkeypatch.setattr(ReturnQueue, "before", lambda *_: [])
+
+
 BREAKS = [
     (nothing_is_counted, test_tenant_limits.test_a_limit_holds_over_all_daemons),
     (
@@ -49,6 +65,18 @@
         levels_are_not_handed_over,
         test_tenant_limits.test_a_planned_move_goes_on_where_the_owner_stopped,
     ),
+    (
+        a_reserving_limit_does_not_count_its_calls,
+        test_tenant_limits.test_a_limit_with_a_reserve_holds_over_all_daemons,
+    ),
+    (
+        loops_have_claims,
+        test_reserving_limit.test_a_looping_program_is_refused_before_others,
+    ),
+    (
+        refused_programs_keep_no_places,
+        test_reserving_limit.test_refused_programs_return_in_order_each_later,
+    ),
 ]
 
 
--- a/tests/unit/accounts/test_tenant_limits.py
+++ b/tests/unit/accounts/test_tenant_limits.py
@@ -23,9 +23,12 @@
 
 
 def world_with(
-    limit: RateLimit = LARGE, mechanisms: frozenset[Mechanism] = ALL_MECHANISMS
+    limit: RateLimit = LARGE,
+    mechanisms: frozenset[Mechanism] = ALL_MECHANISMS,
+    *,
+    has_competing_callers: bool = False,
 ) -> World:
-    world = World(mechanisms=mechanisms)
+    world = World(mechanisms=mechanisms, has_competing_callers=has_competing_callers)
     world.tenants["t"] = Tenant("t", limit=limit)
     world.run(6.0)
     return world
@@ -66,6 +69,38 @@
     assert LARGE.burst + 3.0 * 40.0 <= total <= max_calls(LARGE, 3.0)
 
 
+def test_a_limit_with_a_reserve_holds_over_all_daemons():
+    world = world_with(has_competing_callers=True)
+    total = sum(admitted(world, 100) for _ in range(10))
+    assert LARGE.burst + 3.0 * 40.0 <= total <= max_calls(LARGE, 3.0)
+
+
+@pytest.mark.parametrize(
+    ("has_competing_callers", "without", "reserves"),
+    [
+        (True, frozenset(), True),
+        (True, frozenset({Mechanism.LIMIT_RESERVE}), False),
+        (False, frozenset(), False),
+    ],
+)
+def test_calls_of_no_program_yield_only_where_limits_reserve(
+    has_competing_callers, without, reserves
+):
+    """The reserve must not change a deployment whose callers do not compete."""
+    world = world_with(
+        RateLimit(5.0, 5.0),
+        ALL_MECHANISMS - without,
+        has_competing_callers=has_competing_callers,
+    )
+    with captured() as messages:
+        admitted(world, 12, programs=6)
+        for _ in range(12):
+            world.request_admission(world.call("", budget=None, tenant="t"))
+        world.run(0.3)
+    causes = {event["cause"] for event in of(messages, tenant_events.LimitReached)}
+    assert ("unclaimed" in causes) == reserves
+
+
 def test_what_is_refused_is_told_at_once_with_the_time_to_come_back():
     world = world_with(SMALL)
     with captured() as messages:
--- a/tests/unit/explain/test_explanation.py
+++ b/tests/unit/explain/test_explanation.py
@@ -162,6 +162,25 @@
         "tenant t has 0.4 calls left of its limit of 2.0 a second and 3.0 at once; "
         "its program would have begun and is not expected to fit",
     ),
+    (
+        [
+            line(
+                1.0,
+                "b",
+                msgspec.structs.replace(
+                    LIMIT_REACHED,
+                    begins_program=False,
+                    cause="loops",
+                    reserved_calls=12.5,
+                    program_calls=31,
+                ),
+            ),
+            line(1.1, "a", refused(status=429)),
+        ],
+        "tenant t has 0.4 calls left of its limit of 2.0 a second and 3.0 at once; "
+        "its program has made 31 calls, far more than its kind, and has no room "
+        "beside 12.5 reserved calls",
+    ),
     (
         [line(1.1, "a", refused(status=429))],
         "over its tenant's limit, said the owner that counts it; its line is missing",
--- a/tests/unit/tenants/test_reserving_limit.py
+++ b/tests/unit/tenants/test_reserving_limit.py
@@ -122,6 +122,7 @@
     tenant.loop()
     tenant.begin_until_refused()
     refused = tenant.request("loop", max_wait=0.6)
+    assert isinstance(refused, OverLimit)
     assert refused.cause is RefusalCause.LOOPS
     assert refused.program_calls == round(DEFAULT_SIZE.calls * 2)
     assert tenant.request("p0", max_wait=0.6) == GRANTED
