--- a/notcharch/tenants/claims.py
+++ b/notcharch/tenants/claims.py
@@ -3,10 +3,6 @@
 from notcharch.tenants.needs import MIN_SECONDS, Need
 from notcharch.tenants.program_sizes import ProgramSize
 
-LOOP_FACTOR = 2.0
-"""A program that has made this many times its kind's mean has no claim any more. The
-longest programs of a kind make about 1.5 times the mean; a wrong verdict only lets the
-program's calls yield to the others."""
 MIN_REMAINING_SHARE = 0.25
 """Share of the mean that a program is expected to need still, however many calls it has
 made: a program that is beyond the mean has not ended."""
@@ -15,14 +11,9 @@
 ended. Pauses for tools are shorter."""
 
 
-def is_looping(calls_made: float, size: ProgramSize) -> bool:
-    """Return whether a program has made far more calls than its kind does."""
-    return calls_made >= LOOP_FACTOR * size.calls
-
-
 def claim(calls_made: float, idle_seconds: float, size: ProgramSize) -> Need | None:
-    """Return the expected remaining need of a running program, None if it has no claim."""
-    if idle_seconds >= CLAIM_SECONDS or is_looping(calls_made, size):
+    """Return the expected remaining need of a running program, None if it has ended."""
+    if idle_seconds >= CLAIM_SECONDS:
         return None
     share = max(1.0 - calls_made / size.calls, MIN_REMAINING_SHARE)
     likelihood = 1.0 - idle_seconds / CLAIM_SECONDS
--- a/notcharch/tenants/reserving_limit.py
+++ b/notcharch/tenants/reserving_limit.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from notcharch.tenants.claims import LOOP_FACTOR, claim, is_looping, whole_need
+from notcharch.tenants.claims import claim, whole_need
 from notcharch.tenants.limit import (
     GRANTED,
     MAX_RETRY_SECONDS,
@@ -90,9 +90,7 @@
             return self._decide_unclaimed(asked, RefusalCause.UNCLAIMED, [ONE_CALL])
         if running is None and knows_all_programs:
             return self._decide_first_call(asked)
-        if running is not None and is_looping(
-            running.calls, self._sizes.of(running.kind)
-        ):
+        if running is not None and self._is_looping(running):
             # A looping program also leaves room for one that begins.
             newcomer = whole_need(self._sizes.of(running.kind))
             return self._decide_unclaimed(
@@ -186,13 +184,20 @@
 
     # The reserve
 
+    def _is_looping(self, running: RunningProgram) -> bool:
+        """Return whether a program has made far more calls than its kind makes.
+
+        If that is wrong, its calls only yield to those of the others.
+        """
+        return running.calls >= self._sizes.largest_usual_calls(running.kind)
+
     def _reserve(self, asked: Asked) -> list[Need]:
         """Return what other running programs, and those that return earlier, need."""
         now = asked.now
         claims = (
             claim(running.calls, now - running.last, self._sizes.of(running.kind))
             for name, running in self._programs.items()
-            if name != asked.program
+            if name != asked.program and not self._is_looping(running)
         )
         returning = (
             whole_need(self._sizes.of(place.kind), max(place.at - now, 0.0))
@@ -250,7 +255,7 @@
             return
         seconds = running.last - running.began
         calls = float(running.calls)
-        largest = LOOP_FACTOR * mean.calls
+        largest = self._sizes.largest_usual_calls(running.kind)
         if calls > largest:
             seconds *= largest / calls
             calls = largest
--- a/tests/stateful/tenants/test_limits_machine.py
+++ b/tests/stateful/tenants/test_limits_machine.py
@@ -3,7 +3,6 @@
 import pytest
 from hypothesis.stateful import run_state_machine_as_test
 
-from notcharch.tenants import reserving_limit
 from notcharch.tenants.limit import GRANTED, TenantLimit
 from notcharch.tenants.partition_limits import LimitOwnership, PartitionLimits
 from notcharch.tenants.reserving_limit import ReservingLimit
@@ -42,7 +41,7 @@
 
 
 def loops_have_claims(monkeypatch):
-    monkeypatch.setattr(reserving_limit, "is_looping", lambda *_: False)
+    monkeypatch.setattr(ReservingLimit, "_is_looping", lambda *_: False)
 
 
 def refused_programs_keep_no_places(monkeypatch):
--- a/tests/unit/tenants/test_reserving_limit.py
+++ b/tests/unit/tenants/test_reserving_limit.py
@@ -22,6 +22,7 @@
 
 SUPPLY = Supply(rate=6.0, capacity=16.0, window_calls=41.0)
 SEEDS = range(5)
+LOOP_CALLS = 24
 
 
 class Reserving:
@@ -59,9 +60,9 @@
         self.now = until
 
     def loop(self, program: str = "loop") -> None:
-        """Let a program make twice the calls of its kind, without using the limit."""
+        """Let a program make many calls without using the limit."""
         self.request(program)
-        self.limit._programs[program].calls = round(DEFAULT_SIZE.calls * 2)
+        self.limit._programs[program].calls = LOOP_CALLS
 
 
 def test_a_program_begins_only_if_its_need_fits_beside_the_reserve():
@@ -124,10 +125,18 @@
     refused = tenant.request("loop", max_wait=0.6)
     assert isinstance(refused, OverLimit)
     assert refused.cause is RefusalCause.LOOPS
-    assert refused.program_calls == round(DEFAULT_SIZE.calls * 2)
+    assert refused.program_calls == LOOP_CALLS
     assert tenant.request("p0", max_wait=0.6) == GRANTED
 
 
+def test_few_long_programs_among_many_short_ones_do_not_count_as_loops():
+    """They are the ones that are late most often, and would be refused first."""
+    sizes = ProgramSizes()
+    for n in range(200):
+        sizes.record("k", ProgramSize(14.0 if n % 5 == 0 else 3.0, 3.0))
+    assert 14.0 < sizes.largest_usual_calls("k") < LOOP_CALLS
+
+
 def test_a_looping_program_gets_what_nobody_else_needs():
     tenant = Reserving()
     tenant.loop()
