--- a/notcharch/tenants/reserving_limit.py
+++ b/notcharch/tenants/reserving_limit.py
@@ -35,8 +35,9 @@
 from notcharch.tenants.return_queue import ReturnQueue
 
 ONE_CALL = Need(1.0, 0.05)
-RETRY_STEP_SECONDS = 0.05
-"""Precision of retry times; a call takes longer."""
+RETRY_STEP_SECONDS = 0.1
+"""Precision of retry times, and the distance of those at the upper bound; a call takes
+longer, and a finer search costs the owner more."""
 MAX_QUEUED_RETRY_SECONDS = 8.0
 """Upper bound of the retry times that keep callers in order, beyond
 `MAX_RETRY_SECONDS`: callers with less time than that give up at once."""
--- a/notcharch/tenants/return_queue.py
+++ b/notcharch/tenants/return_queue.py
@@ -11,7 +11,7 @@
 """How long a place is kept for a program that does not return when told."""
 EARLY_SECONDS = 0.01
 """How much earlier than told a program may return; times are sent rounded."""
-MAX_PLACES = 64
+MAX_PLACES = 32
 """Maximum number of programs that have a place; limits the cost of a decision."""
 
 
