--- a/notcharch/tenants/partition_limits.py
+++ b/notcharch/tenants/partition_limits.py
@@ -128,6 +128,8 @@
         self._started_at = 0.0
         """Clock time at which this owner, or the first in its chain of handovers,
         started to decide without knowing the calls admitted before."""
+        self._learns_since = 0.0
+        """Clock time since which all programs that began are known."""
         self._handover: LimitHandover | None = None
         """The former owner's handover; None if there is none, or it was taken."""
 
@@ -143,7 +145,7 @@
 
     def start(self, now: float) -> None:
         """Start to decide."""
-        self._started_at = now
+        self._started_at = self._learns_since = now
 
     @property
     def has_handover(self) -> bool:
@@ -156,6 +158,9 @@
         if handover is None:
             return
         self._started_at -= handover.decided_seconds
+        # Running programs are not handed over. With a reserve they would count as
+        # beginning and be refused, so they are learned from their calls first.
+        self._learns_since = now if self._reserves else self._started_at
         for tenant, use in handover.uses.items():
             limit = self._limits[tenant] = self._new_limit(use.level, now)
             limit.recent.restore(use.recent, now)
@@ -212,7 +217,7 @@
         if bucket is None:
             level = self._initial_level(supply, now)
             bucket = self._limits[tenant] = self._new_limit(level, now)
-        knows_all_programs = now - self._started_at >= LEARNING_SECONDS
+        knows_all_programs = now - self._learns_since >= LEARNING_SECONDS
         max_wait = min(max_wait_seconds, lease.remaining_seconds)
         return bucket.decide(
             program,
--- a/tests/unit/tenants/test_partition_limits.py
+++ b/tests/unit/tenants/test_partition_limits.py
@@ -144,6 +144,24 @@
     assert not late.limits.has_handover
 
 
+@pytest.mark.parametrize("reserves", [True, False])
+def test_running_programs_do_not_begin_again_after_a_planned_move(reserves):
+    """Claims are not handed over, so a reserving successor would refuse them."""
+    limit = LIMITS[1]
+    former = PartitionLimits(TOLERANCE, ProgramSizes(), reserves=reserves)
+    former.start(-100.0)
+    former.decide("t", limit, "p0", "k", 10.0, lease=HELD_LEASE)
+    successor = PartitionLimits(TOLERANCE, ProgramSizes(), reserves=reserves)
+    successor.start(10.0)
+    successor.replay_handover(former.hand_over(10.0))
+    successor.take_levels(10.0)
+    verdicts = [
+        successor.decide("t", limit, f"p{n}", "k", 10.1, lease=HELD_LEASE)
+        for n in range(10)
+    ]
+    assert all(verdict == GRANTED for verdict in verdicts) == reserves
+
+
 def test_an_owner_without_calls_hands_nothing_over():
     assert Owner(LIMITS[2], began=0.0).limits.hand_over(5.0) is None
 
