--- a/tests/unit/accounts/test_tenant_limits.py
+++ b/tests/unit/accounts/test_tenant_limits.py
@@ -1,6 +1,7 @@
 """Tests of tenants' limits over all daemons and through changes of the owner."""
 
 import pytest
+from prometheus_client import REGISTRY
 
 from emulator.services.partitioned_log import Trouble
 from notcharch.accounts.limited_admission import (
@@ -101,6 +102,26 @@
     assert ("unclaimed" in causes) == reserves
 
 
+def test_refusals_are_counted_by_tenant_and_cause_with_their_retry_times():
+    """Operators could not see who was refused, how often and for how long."""
+    world = world_with(RateLimit(5.0, 5.0), has_competing_callers=True)
+    labels = {"tenant": "t", "cause": "begins"}
+
+    def sample(name: str) -> float:
+        return REGISTRY.get_sample_value(name, labels) or 0.0
+
+    calls = sample("notcharch_limit_refusals_total")
+    seconds = sample("notcharch_limit_retry_seconds_total")
+    with captured() as messages:
+        admitted(world, 20, programs=20)
+    events = of(messages, tenant_events.LimitReached)
+    assert events
+    assert sample("notcharch_limit_refusals_total") - calls == len(events)
+    told = sum(event["retry_after_seconds"] for event in events)
+    total = sample("notcharch_limit_retry_seconds_total") - seconds
+    assert total == pytest.approx(told, abs=0.01)
+
+
 def test_what_is_refused_is_told_at_once_with_the_time_to_come_back():
     world = world_with(SMALL)
     with captured() as messages:
