--- a/notcharch/settings/mechanisms.py
+++ b/notcharch/settings/mechanisms.py
@@ -43,8 +43,6 @@
     """Engines are told which of their waiting calls are more urgent."""
     LIMIT_RESERVE = "limit-reserve"
     """Limits reserve calls for running programs, where callers compete."""
-    LIMIT_RECOVERY = "limit-recovery"
-    """A new owner of a limit recovers the recent calls, where callers compete."""
     OUTAGE_REFUSALS = "outage-refusals"
     """Calls that need the store are refused early while it is down."""
 
--- a/tests/unit/accounts/test_tenant_limits.py
+++ b/tests/unit/accounts/test_tenant_limits.py
@@ -1,6 +1,7 @@
 """Tests of tenants' limits over all daemons and through changes of the owner."""
 
 import pytest
+from prometheus_client import REGISTRY
 
 from emulator.services.partitioned_log import Trouble
 from notcharch.accounts.limited_admission import (
@@ -23,9 +24,12 @@
 
 
 def world_with(
-    limit: RateLimit = LARGE, mechanisms: frozenset[Mechanism] = ALL_MECHANISMS
+    limit: RateLimit = LARGE,
+    mechanisms: frozenset[Mechanism] = ALL_MECHANISMS,
+    *,
+    has_competing_callers: bool = False,
 ) -> World:
-    world = World(mechanisms=mechanisms)
+    world = World(mechanisms=mechanisms, has_competing_callers=has_competing_callers)
     world.tenants["t"] = Tenant("t", limit=limit)
     world.run(6.0)
     return world
@@ -66,6 +70,58 @@
     assert LARGE.burst + 3.0 * 40.0 <= total <= max_calls(LARGE, 3.0)
 
 
+def test_a_limit_with_a_reserve_holds_over_all_daemons():
+    world = world_with(has_competing_callers=True)
+    total = sum(admitted(world, 100) for _ in range(10))
+    assert LARGE.burst + 3.0 * 40.0 <= total <= max_calls(LARGE, 3.0)
+
+
+@pytest.mark.parametrize(
+    ("has_competing_callers", "without", "reserves"),
+    [
+        (True, frozenset(), True),
+        (True, frozenset({Mechanism.LIMIT_RESERVE}), False),
+        (False, frozenset(), False),
+    ],
+)
+def test_calls_of_no_program_yield_only_where_limits_reserve(
+    has_competing_callers, without, reserves
+):
+    """The reserve must not change a deployment whose callers do not compete."""
+    world = world_with(
+        RateLimit(5.0, 5.0),
+        ALL_MECHANISMS - without,
+        has_competing_callers=has_competing_callers,
+    )
+    with captured() as messages:
+        admitted(world, 12, programs=6)
+        for _ in range(12):
+            world.request_admission(world.call("", budget=None, tenant="t"))
+        world.run(0.3)
+    causes = {event["cause"] for event in of(messages, tenant_events.LimitReached)}
+    assert ("unclaimed" in causes) == reserves
+
+
+def test_refusals_are_counted_by_tenant_and_cause_with_their_retry_times():
+    """Operators could not see who was refused, how often and for how long."""
+    world = world_with(RateLimit(5.0, 5.0), has_competing_callers=True)
+    labels = {"tenant": "t", "cause": "begins"}
+
+    def sample(name: str) -> float:
+        return REGISTRY.get_sample_value(name, labels) or 0.0
+
+    calls = sample("notcharch_limit_refusals_total")
+    seconds = sample("notcharch_limit_retry_seconds_total")
+    with captured() as messages:
+        admitted(world, 20, programs=20)
+    events = of(messages, tenant_events.LimitReached)
+    assert events
+    assert sample("notcharch_limit_refusals_total") - calls == len(events)
+    told = sum(event["retry_after_seconds"] for event in events)
+    total = sample("notcharch_limit_retry_seconds_total") - seconds
+    assert total == pytest.approx(told, abs=0.01)
+
+
 def test_what_is_refused_is_told_at_once_with_the_time_to_come_back():
     world = world_with(SMALL)
     with captured() as messages:
--- a/tests/unit/accounts/world.py
+++ b/tests/unit/accounts/world.py
@@ -87,10 +87,12 @@
         regions: tuple[str, ...] = (),
         *,
         refuses_in_outages: bool = False,
+        has_competing_callers: bool = False,
     ) -> None:
         """Assign the daemons to the regions in turn, if there are any."""
         self.refuses_in_outages = refuses_in_outages
         self.mechanisms = mechanisms
+        self.has_competing_callers = has_competing_callers
         self.regions = regions
         self.listeners: list[Listener] = []
         self.tenants: dict[str, Tenant] = {}
@@ -133,6 +135,7 @@
                 mechanisms=self.mechanisms,
                 region=self.region_of(name),
                 regions=self.regions,
+                has_competing_callers=self.has_competing_callers,
             ),
             self.logs[name],
             daemon.clock,
