--- a/notcharch/scheduling/expected_seconds.py
+++ b/notcharch/scheduling/expected_seconds.py
@@ -29,12 +29,6 @@
 A call at a full engine also delays the calls that come after it there, which its own
 expected seconds do not show.
 """
-READING_WEIGHT = 4.0
-"""Weight of reading a prompt in the comparison of engines.
-
-An engine reads prompts between the events of the calls that it runs, and what it reads
-displaces prefixes of other programs.
-"""
 OTHER_ZONE_SECONDS = 0.003
 """Additional network time of a call to another zone of the region."""
 OTHER_REGION_SECONDS = 0.1
@@ -121,8 +115,7 @@
         filling = FILL_SHARE * self.run_seconds * taken**FILL_EXPONENT
         trip = self.distance_seconds if is_remote else 0.0
         delays = (WAIT_WEIGHT - 1.0) * (self.wait_seconds + trip)
-        reading = (READING_WEIGHT - 1.0) * self.reading_seconds
-        return self.seconds + delays + reading + filling
+        return self.seconds + delays + filling
 
 
 class ChoiceReason(enum.Enum):
@@ -213,9 +206,12 @@
     `engines` must not be empty.
     """
     costs = engine_costs(engines, call)
-    lowest = min(cost.rank_seconds for cost in costs)
-    limit = max(lowest * (1.0 + TIE_SHARE), lowest + TIE_SECONDS)
-    chosen = random.choice([cost for cost in costs if cost.rank_seconds <= limit])
+    chosen = _cheapest(costs, random)
+    cached = next(
+        (cost for cost in costs if cost.engine.id == call.cached_engine), None
+    )
+    if cached is not None and keeps_cached(cached, chosen):
+        chosen = cached
     return CostChoice(
         chosen,
         lowest_seconds=min(cost.seconds for cost in costs),
@@ -223,6 +219,25 @@
     )
 
 
+def keeps_cached(cached: EngineCost, other: EngineCost) -> bool:
+    """Return whether a call stays at the engine that caches its prefix.
+
+    While the other engine reads the prompt, its other calls wait, as many as it has slots.
+    The call leaves only if it saves more than that. Otherwise engines under load spend
+    their time on prompts, calls last longer, and still more of them leave.
+    """
+    delayed_calls = other.engine.slots - 1
+    saved = cached.seconds - other.seconds
+    return saved <= delayed_calls * other.reading_seconds
+
+
+def _cheapest(costs: Sequence[EngineCost], random: Random) -> EngineCost:
+    """Return the engine that ranks first, or a random one close to it."""
+    lowest = min(cost.rank_seconds for cost in costs)
+    limit = max(lowest * (1.0 + TIE_SHARE), lowest + TIE_SECONDS)
+    return random.choice([cost for cost in costs if cost.rank_seconds <= limit])
+
+
 def _reason(
     chosen: LoadedEngine, engines: Sequence[LoadedEngine], cached_engine: str
 ) -> ChoiceReason:
