--- a/notcharch/tenants/program_sizes.py
+++ b/notcharch/tenants/program_sizes.py
@@ -26,10 +26,11 @@
 DEFAULT_VARIANCE = 16.0
 """The assumed variance of the calls of such a kind, a deviation of half its size."""
 USUAL_DEVIATIONS = 3.0
-USUAL_FACTOR = 2.0
+USUAL_FACTOR = 8.0
 """The largest usual program has this many standard deviations more calls than the mean,
-and at least this many times the mean. A kind may have many short programs and few long
-ones, so that its mean alone says little about the long ones."""
+and at least this many times the mean. Sizes are heavy-tailed: a tenth of the programs of a
+kind make over three times its mean, and they are worth most. Programs that loop without
+end exceed any multiple soon."""
 MIN_PROGRAM_SECONDS = 1.0
 """Lower bound of the duration, because a program with one call has none."""
 
