--- a/notcharch/accounts/outage_refusals.py
+++ b/notcharch/accounts/outage_refusals.py
@@ -6,7 +6,7 @@
 
 from notcharch.accounts.metrics import OUTAGE_RETRY_SECONDS, REFUSED_IN_OUTAGE
 from notcharch.calls.interface import OpaqueCall, Refusal
-from notcharch.calls.retry_after import HONOURED_SHARE
+from notcharch.calls.retry_after import honoured_delay, remaining_seconds
 from notcharch.events.event import emit
 from notcharch.events.outages import RefusedInOutage
 from notcharch.journal.recovery_signal import RecoverySignal
@@ -38,16 +38,14 @@
 
 
 def retry_delay_seconds(
-    outage_seconds: float, remaining_seconds: float | None, spread: float
+    outage_seconds: float, remaining: float | None, spread: float
 ) -> float:
     """Return the delay that a caller is told; `spread` is random in [0, 1).
 
-    A caller honours it up to a third of its remaining time (None: without a bound), and
-    would not retry after a longer one.
+    A caller honours it up to a third of its remaining seconds (None: without a bound),
+    and would not retry after a longer one.
     """
-    delay = expected_return_seconds(outage_seconds)
-    if remaining_seconds is not None:
-        delay = min(delay, max(remaining_seconds, 0.0) * HONOURED_SHARE)
+    delay = honoured_delay(expected_return_seconds(outage_seconds), remaining)
     return max(delay * (1.0 - SPREAD_SHARE * spread), MIN_RETRY_SECONDS)
 
 
@@ -74,9 +72,7 @@
         self, call: OpaqueCall, outage_seconds: float, *, is_owners_decision: bool
     ) -> Refusal:
         """Return the refusal of a call, with the time to retry."""
-        remaining = None
-        if call.wait_seconds is not None:
-            remaining = call.arrived + call.wait_seconds - self._clock.seconds()
+        remaining = remaining_seconds(call, self._clock.seconds())
         delay = retry_delay_seconds(outage_seconds, remaining, self._random.random())
         REFUSED_IN_OUTAGE.inc()
         OUTAGE_RETRY_SECONDS.observe(delay)
--- a/notcharch/calls/call_lifecycle.py
+++ b/notcharch/calls/call_lifecycle.py
@@ -147,10 +147,19 @@
     def _cached_engine(self) -> str:
         return self._ticket.cached_engine if self._ticket is not None else ""
 
-    def _dispatch(self) -> None:
-        seconds_left = self._deadline - self._services.clock.seconds()
-        if seconds_left < MIN_SEND_SECONDS:
+    @property
+    def _seconds_left(self) -> float:
+        return self._deadline - self._services.clock.seconds()
+
+    def _refuse_if_too_late(self) -> bool:
+        """Refuse the call if it can't be sent before its deadline; return whether."""
+        is_too_late = self._seconds_left < MIN_SEND_SECONDS
+        if is_too_late:
             self._refuse(TIMED_OUT if self._log.runs else NO_ENGINE)
+        return is_too_late
+
+    def _dispatch(self) -> None:
+        if self._refuse_if_too_late():
             return
         if len(self._tried) >= MAX_SENDS:
             self._end_without_engine()
@@ -161,11 +170,7 @@
 
     def _loads_received(self, loads: Mapping[str, EngineLoad]) -> None:
         """Send the call to an engine, unless it ended while the loads were requested."""
-        if self._phase is not Phase.AT_ENGINE:
-            return
-        seconds_left = self._deadline - self._services.clock.seconds()
-        if seconds_left < MIN_SEND_SECONDS:
-            self._refuse(TIMED_OUT if self._log.runs else NO_ENGINE)
+        if self._phase is not Phase.AT_ENGINE or self._refuse_if_too_late():
             return
         selection = self._services.pool.select(
             self._service,
@@ -180,7 +185,7 @@
             return
         self._rate_urgency()
         self._log.selected(selection, len(loads))
-        self._send(selection, int(seconds_left * 1000))
+        self._send(selection, int(self._seconds_left * 1000))
 
     def _rate_urgency(self) -> None:
         """Set the urgency where the loads of the service's engines are shared."""
--- a/notcharch/tenants/reserving_limit.py
+++ b/notcharch/tenants/reserving_limit.py
@@ -29,12 +29,12 @@
     TenantLimit,
     Verdict,
 )
-from notcharch.tenants.needs import Need, Room
+from notcharch.tenants.needs import MIN_SECONDS, Need, Room
 from notcharch.tenants.program_sizes import ProgramSize, ProgramSizes
 from notcharch.tenants.recent_calls import RecentCalls
 from notcharch.tenants.return_queue import ReturnQueue
 
-ONE_CALL = Need(1.0, 0.05)
+ONE_CALL = Need(1.0, MIN_SECONDS)
 RETRY_STEP_SECONDS = 0.1
 """Precision of retry times, and the distance of those at the upper bound; a call takes
 longer, and a finer search costs the owner more."""
